--- a/proxy/src/main/java/cacheproxy/common/InvalidInputException.java
+++ b/proxy/src/main/java/cacheproxy/common/InvalidInputException.java
@@ -1,6 +1,6 @@
 package cacheproxy.common;
 
-/** Input that does not follow the wire; the message says what and where, on one line. */
+/** Thrown for input that violates its format; the message, one line, says what is wrong and where. */
 public class InvalidInputException extends RuntimeException {
     private static final long serialVersionUID = 1L;
 
--- a/proxy/src/main/java/cacheproxy/common/PrintableText.java
+++ b/proxy/src/main/java/cacheproxy/common/PrintableText.java
@@ -1,6 +1,6 @@
 package cacheproxy.common;
 
-/** Makes text from outside safe to put into a log line or an error message. */
+/** Makes text from an external source safe to include in a log line or an error message. */
 public final class PrintableText {
     private static final int MAX_CHARS = 80;
 
--- a/proxy/src/main/java/cacheproxy/simulator/FrameReader.java
+++ b/proxy/src/main/java/cacheproxy/simulator/FrameReader.java
@@ -5,43 +5,44 @@
 import java.lang.invoke.VarHandle;
 import java.nio.ByteOrder;
 
-/** Big-endian fields of one frame, bounded by the end of the current record. */
+/** Reads the big-endian fields of a frame; no read goes beyond the end of the current range. */
 final class FrameReader {
     private static final VarHandle SHORT = view(short[].class);
     private static final VarHandle INT = view(int[].class);
     private static final VarHandle LONG = view(long[].class);
 
     private byte[] bytes;
-    private int at;
+    private int offset;
     private int end;
-    private String where = "frame";
+    private String rangeName = "frame";
 
     private static VarHandle view(Class<?> type) {
         return MethodHandles.byteArrayViewVarHandle(type, ByteOrder.BIG_ENDIAN);
     }
 
-    /** From here on reads bytes {@code from} to {@code to}; {@code what} names them in messages. */
-    void range(byte[] source, int from, int to, String what) {
+    /** Sets the range to read: bytes {@code from} to {@code to}; {@code name} names it in error messages. */
+    void setRange(byte[] source, int from, int to, String name) {
         bytes = source;
-        at = from;
+        offset = from;
         end = to;
-        where = what;
+        rangeName = name;
     }
 
     int position() {
-        return at;
+        return offset;
     }
 
-    int left() {
-        return end - at;
+    int remaining() {
+        return end - offset;
     }
 
-    private int advance(int n) {
-        if (n < 0 || n > end - at) {
-            throw new InvalidInputException(where + " is too short: " + n + " bytes wanted, " + (end - at) + " left");
+    private int advance(int count) {
+        if (count < 0 || count > end - offset) {
+            throw new InvalidInputException(
+                    rangeName + " is too short: " + count + " bytes wanted, " + (end - offset) + " left");
         }
-        int from = at;
-        at += n;
+        int from = offset;
+        offset += count;
         return from;
     }
 
@@ -59,11 +60,11 @@
 
     /** An unsigned number that must fit an int: a count, a length or an index. */
     int u31() {
-        int v = i32();
-        if (v < 0) {
-            throw new InvalidInputException(where + " has an impossible number " + (v & 0xffffffffL));
+        int value = i32();
+        if (value < 0) {
+            throw new InvalidInputException(rangeName + " has an impossible number " + (value & 0xffffffffL));
         }
-        return v;
+        return value;
     }
 
     long i64() {
@@ -78,22 +79,22 @@
         return Float.intBitsToFloat(i32());
     }
 
-    /** A clock time or duration: milliseconds on the wire, microseconds here. */
-    long micros() {
+    /** A time or duration, which is in milliseconds on the wire; returned in microseconds. */
+    long microseconds() {
         double ms = f64();
         if (!(Math.abs(ms) < 1e12)) {
-            throw new InvalidInputException(where + " has an impossible time " + ms);
+            throw new InvalidInputException(rangeName + " has an impossible time " + ms);
         }
         return Math.round(ms * 1000);
     }
 
-    byte[] bytes(int n) {
-        int from = advance(n);
-        return java.util.Arrays.copyOfRange(bytes, from, from + n);
+    byte[] bytes(int count) {
+        int from = advance(count);
+        return java.util.Arrays.copyOfRange(bytes, from, from + count);
     }
 
-    String text(int n) {
-        int from = advance(n);
-        return new String(bytes, from, n, java.nio.charset.StandardCharsets.UTF_8);
+    String text(int count) {
+        int from = advance(count);
+        return new String(bytes, from, count, java.nio.charset.StandardCharsets.UTF_8);
     }
 }
--- a/proxy/src/main/java/cacheproxy/simulator/SimHost.java
+++ b/proxy/src/main/java/cacheproxy/simulator/SimHost.java
@@ -19,26 +19,29 @@
 import java.util.HashMap;
 import java.util.Map;
 
-/** The batch loop: decodes events, hands each to its instance's router, and answers with their actions. */
+/**
+ * Hosts routers for the simulator: reads batches of events, passes each event to the router of its instance, and
+ * replies to a batch with the actions that the routers requested.
+ */
 public final class SimHost {
     private static final int OUTCOME = 16;
-    private static final int CHECKED = 17;
-    private static final int REQ = 18;
-    private static final int EXIT = 19;
-    private static final int WAKE = 20;
-    private static final int BACKENDS_CHANGED = 21;
-    private static final int MEMO = 22;
-    private static final int ABORTED = 23;
-    private static final int FLOWING = 24;
-    private static final int HELLO = 25;
-    private static final int HEADER = 20;
+    private static final int HEALTH_CHECK = 17;
+    private static final int REQUEST = 18;
+    private static final int STOP = 19;
+    private static final int TIMER = 20;
+    private static final int ENDPOINT_LIST = 21;
+    private static final int GOSSIP = 22;
+    private static final int CLIENT_GONE = 23;
+    private static final int STREAM_STARTED = 24;
+    private static final int START = 25;
+    private static final int HEADER_BYTES = 20;
     private static final int ENTRY_BYTES = 22;
-    private static final int RECORD_HEAD = 5;
-    private static final int LONGEST_FRAME = 1 << 30;
+    private static final int RECORD_HEADER_BYTES = 5;
+    private static final int MAX_BODY_BYTES = 1 << 30;
 
-    private static final CacheResult[] NOTES = CacheResult.values();
+    private static final CacheResult[] CACHE_RESULTS = CacheResult.values();
     private static final EndpointState[] STATES = {EndpointState.GONE, EndpointState.READY, EndpointState.DRAINING};
-    private static final EndpointListKind[] KINDS = EndpointListKind.values();
+    private static final EndpointListKind[] LIST_KINDS = EndpointListKind.values();
 
     private final InputStream in;
     private final OutputStream out;
@@ -47,10 +50,10 @@
     private final Map<Integer, Instance> instances = new HashMap<>();
     private final RoutingRequest request = new RoutingRequest();
     private final LoadReport report = new LoadReport();
-    private EndpointInfo[] nodes = new EndpointInfo[0];
+    private EndpointInfo[] endpoints = new EndpointInfo[0];
     private byte[] frame = new byte[1 << 16];
 
-    /** A hosted router with the part of its settings that decoding needs; the router is null once stopped. */
+    /** A router with the settings that decoding its events needs; the router is null after the instance stopped. */
     private static final class Instance {
         RequestRouter router;
         String[] reportFields;
@@ -61,94 +64,96 @@
         this.out = out;
     }
 
-    /** Runs until the clean end of input. */
+    /** Processes batches until the input ends between two batches. */
     public void run() throws IOException {
-        byte[] head = new byte[HEADER];
-        for (long batches = 0; ; batches++) {
-            int got = in.readNBytes(head, 0, HEADER);
-            if (got == 0) {
+        byte[] header = new byte[HEADER_BYTES];
+        for (long batchIndex = 0; ; batchIndex++) {
+            int bytesRead = in.readNBytes(header, 0, HEADER_BYTES);
+            if (bytesRead == 0) {
                 return;
             }
-            String name = "batch " + batches;
-            reader.range(head, 0, got, name + " header");
-            int number = reader.i32();
+            String name = "batch " + batchIndex;
+            reader.setRange(header, 0, bytesRead, name + " header");
+            int batchNumber = reader.i32();
             int length = reader.u31();
-            long now = reader.micros();
-            int records = reader.u31();
-            int body = length - (HEADER - 8);
-            if (body < 0 || body > LONGEST_FRAME) {
+            long nowUs = reader.microseconds();
+            int recordCount = reader.u31();
+            int bodyBytes = length - (HEADER_BYTES - 8);
+            if (bodyBytes < 0 || bodyBytes > MAX_BODY_BYTES) {
                 throw new InvalidInputException(name + " has an impossible length " + length);
             }
-            if ((long) records * RECORD_HEAD > body) {
+            if ((long) recordCount * RECORD_HEADER_BYTES > bodyBytes) {
                 throw new InvalidInputException(
-                        name + " has an impossible count: " + records + " records in " + body + " bytes");
+                        name + " has an impossible count: " + recordCount + " records in " + bodyBytes + " bytes");
             }
-            read(name, body);
-            batch(name, body, records, now);
-            reply.flush(number, out);
+            readBody(name, bodyBytes);
+            processBatch(name, bodyBytes, recordCount, nowUs);
+            reply.flush(batchNumber, out);
         }
     }
 
-    /** Fills the frame; it grows with what has arrived, so that a false length costs no memory. */
-    private void read(String name, int body) throws IOException {
-        int read = 0;
-        while (read < body) {
-            if (read == frame.length) {
-                frame = Arrays.copyOf(frame, (int) Math.min(body, 2L * read));
+    /** Reads the body into the frame, which grows with the bytes received: a false length allocates no memory. */
+    private void readBody(String name, int bodyBytes) throws IOException {
+        int received = 0;
+        while (received < bodyBytes) {
+            if (received == frame.length) {
+                frame = Arrays.copyOf(frame, (int) Math.min(bodyBytes, 2L * received));
             }
-            int wanted = Math.min(body, frame.length) - read;
-            int got = in.readNBytes(frame, read, wanted);
-            read += got;
-            if (got < wanted) {
-                throw new InvalidInputException(name + " is truncated: " + read + " of " + body + " bytes");
+            int bytesWanted = Math.min(bodyBytes, frame.length) - received;
+            int bytesRead = in.readNBytes(frame, received, bytesWanted);
+            received += bytesRead;
+            if (bytesRead < bytesWanted) {
+                throw new InvalidInputException(name + " is truncated: " + received + " of " + bodyBytes + " bytes");
             }
         }
     }
 
-    private void batch(String name, int body, int records, long now) {
-        int at = 0;
-        for (int i = 0; i < records; i++) {
-            reader.range(frame, at, body, name);
+    private void processBatch(String name, int bodyBytes, int recordCount, long nowUs) {
+        int recordStart = 0;
+        for (int i = 0; i < recordCount; i++) {
+            reader.setRange(frame, recordStart, bodyBytes, name);
             int code = reader.u8();
-            int end = reader.u31() + at + RECORD_HEAD;
-            if (end < at || end > body) {
+            int end = reader.u31() + recordStart + RECORD_HEADER_BYTES;
+            if (end < recordStart || end > bodyBytes) {
                 throw new InvalidInputException(name + ", record " + i + " (code " + code + ") runs past the batch");
             }
-            reader.range(frame, at + RECORD_HEAD, end, "it");
+            reader.setRange(frame, recordStart + RECORD_HEADER_BYTES, end, "it");
             try {
-                event(code, now);
+                processEvent(code, nowUs);
             } catch (InvalidInputException e) {
                 throw new InvalidInputException(name + ", record " + i + " (code " + code + "): " + e.getMessage());
             }
-            at = end;
+            recordStart = end;
         }
-        if (at != body) {
-            throw new InvalidInputException(name + " has " + (body - at) + " bytes after its last record");
+        if (recordStart != bodyBytes) {
+            throw new InvalidInputException(
+                    name + " has " + (bodyBytes - recordStart) + " bytes after its last record");
         }
     }
 
-    private void event(int code, long now) {
-        if (code < OUTCOME || code > HELLO) {
-            return; // an unknown record: skipped
+    private void processEvent(int code, long nowUs) {
+        if (code < OUTCOME || code > START) {
+            return; // unknown record types are skipped
         }
-        int number = reader.i32();
-        Instance instance = instances.get(number);
-        reply.instance(number);
-        if (code == HELLO) {
-            start(number, now);
+        int instanceNumber = reader.i32();
+        Instance instance = instances.get(instanceNumber);
+        reply.setInstance(instanceNumber);
+        if (code == START) {
+            start(instanceNumber, nowUs);
             return;
         }
         if (instance == null) {
-            throw new InvalidInputException("event " + code + " for instance " + number + ", which was never started");
+            throw new InvalidInputException(
+                    "event " + code + " for instance " + instanceNumber + ", which was never started");
         }
-        if (code == EXIT) {
+        if (code == STOP) {
             instance.router = null;
         } else if (instance.router != null) {
-            dispatch(code, now, instance);
+            dispatch(code, nowUs, instance);
         }
     }
 
-    private void start(int number, long now) {
+    private void start(int instanceNumber, long nowUs) {
         long seed = reader.i64();
         RoutingSettings settings;
         SettingsText text = new SettingsText(reader.text(reader.u31()));
@@ -156,83 +161,85 @@
         Instance instance = new Instance();
         instance.reportFields = text.reportFields();
         try {
-            instance.router = new FairRouter(settings, seed, now, reply);
+            instance.router = new FairRouter(settings, seed, nowUs, reply);
         } catch (IllegalArgumentException e) {
-            throw new InvalidInputException("settings of instance " + number + ": " + e.getMessage());
+            throw new InvalidInputException("settings of instance " + instanceNumber + ": " + e.getMessage());
         }
-        instances.put(number, instance);
+        instances.put(instanceNumber, instance);
     }
 
-    private void dispatch(int code, long now, Instance instance) {
+    private void dispatch(int code, long nowUs, Instance instance) {
         RequestRouter router = instance.router;
         switch (code) {
-            case OUTCOME -> outcome(now, instance);
-            case CHECKED -> {
-                int node = reader.i32();
+            case OUTCOME -> outcome(nowUs, instance);
+            case HEALTH_CHECK -> {
+                int endpoint = reader.i32();
                 AttemptOutcome result = result(reader.u16());
-                long latency = reader.micros();
+                long latencyUs = reader.microseconds();
                 LoadReport report = report(instance);
-                guard(() -> router.onHealthCheck(now, node, result, latency, report, reply));
+                runReportingErrors(() -> router.onHealthCheck(nowUs, endpoint, result, latencyUs, report, reply));
             }
-            case REQ -> {
+            case REQUEST -> {
                 readRequest(reader, request);
                 try {
-                    router.onRequest(now, request, reply);
+                    router.onRequest(nowUs, request, reply);
                 } catch (RuntimeException e) {
-                    bug(e);
+                    reportInternalError(e);
                 }
             }
-            case WAKE -> {
+            case TIMER -> {
                 long label = reader.i64();
                 try {
-                    router.onTimer(now, label, reply);
+                    router.onTimer(nowUs, label, reply);
                 } catch (RuntimeException e) {
-                    bug(e);
+                    reportInternalError(e);
                 }
             }
-            case BACKENDS_CHANGED -> nodes(now, router);
-            case ABORTED -> {
+            case ENDPOINT_LIST -> endpoints(nowUs, router);
+            case CLIENT_GONE -> {
                 long id = reader.i64();
-                guard(() -> router.onClientGone(now, id, reply));
+                runReportingErrors(() -> router.onClientGone(nowUs, id, reply));
             }
-            case FLOWING -> {
+            case STREAM_STARTED -> {
                 long id = reader.i64();
                 reader.f64();
                 reader.i32();
                 int attempt = reader.u8();
-                guard(() -> router.onStreamStarted(now, id, attempt, reply));
+                runReportingErrors(() -> router.onStreamStarted(nowUs, id, attempt, reply));
             }
-            case MEMO -> {
-                int from = reader.i32();
+            case GOSSIP -> {
+                int sender = reader.i32();
                 byte[] data = reader.bytes(reader.u16());
-                guard(() -> router.onGossip(now, from, data, reply));
+                runReportingErrors(() -> router.onGossip(nowUs, sender, data, reply));
             }
-            default -> {} // between the known codes, and unknown
+            default -> {} // a code in the known range that is not assigned
         }
     }
 
-    private void outcome(long now, Instance instance) {
+    private void outcome(long nowUs, Instance instance) {
         long id = reader.i64();
         int attempt = reader.u8();
         reader.i32();
         AttemptOutcome result = result(reader.u16());
-        long latency = reader.micros();
+        long latencyUs = reader.microseconds();
         boolean concluded = reader.u8() != 0;
-        int note = reader.i32();
+        int cacheResultIndex = reader.i32();
         LoadReport report = report(instance);
         try {
             instance.router.onOutcome(
-                    now,
+                    nowUs,
                     id,
                     attempt,
                     result,
-                    latency,
+                    latencyUs,
                     concluded,
-                    note > 0 && note < NOTES.length ? NOTES[note] : CacheResult.NONE,
+                    cacheResultIndex > 0 && cacheResultIndex < CACHE_RESULTS.length
+                            ? CACHE_RESULTS[cacheResultIndex]
+                            : CacheResult.NONE,
                     report,
                     reply);
         } catch (RuntimeException e) {
-            bug(e);
+            reportInternalError(e);
         }
     }
 
@@ -242,9 +249,9 @@
     }
 
     static void readReport(FrameReader reader, String[] fields, LoadReport report) {
-        int n = reader.u8();
+        int fieldCount = reader.u8();
         report.clear();
-        for (int i = 0; i < n; i++) {
+        for (int i = 0; i < fieldCount; i++) {
             float value = reader.f32();
             SettingsText.report(i < fields.length ? fields[i] : "", value, report);
         }
@@ -255,52 +262,52 @@
         request.requestClass = reader.u16();
         request.tenant = reader.u31();
         request.key = reader.i64();
-        request.deadlineAtUs = reader.micros();
-        double hint = reader.f64();
+        request.deadlineAtUs = reader.microseconds();
+        double expectedWorkMs = reader.f64();
         float size = reader.f32();
         request.sizeBytes = size > 0 ? size : 0;
         int flags = reader.u8();
-        request.expectedWorkUs = (flags & 1) != 0 && hint > 0 ? hint * 1000 : 0;
+        request.expectedWorkUs = (flags & 1) != 0 && expectedWorkMs > 0 ? expectedWorkMs * 1000 : 0;
         request.clientRetry = (flags & 2) != 0;
         request.write = (flags & 4) != 0;
     }
 
-    private void nodes(long now, RequestRouter router) {
-        reader.i32(); // version: changes come in order and without gaps
-        int mode = reader.u8();
-        if (mode >= KINDS.length) {
-            throw new InvalidInputException("node list of unknown mode " + mode);
+    private void endpoints(long nowUs, RequestRouter router) {
+        reader.i32(); // list version: not needed, because changes arrive in order and without gaps
+        int kindIndex = reader.u8();
+        if (kindIndex >= LIST_KINDS.length) {
+            throw new InvalidInputException("endpoint list of unknown kind " + kindIndex);
         }
         int count = reader.u31();
-        if ((long) count * ENTRY_BYTES > reader.left()) {
-            throw new InvalidInputException("node list has an impossible count " + count);
+        if ((long) count * ENTRY_BYTES > reader.remaining()) {
+            throw new InvalidInputException("endpoint list has an impossible count " + count);
         }
-        while (nodes.length < count) {
-            int old = nodes.length;
-            nodes = Arrays.copyOf(nodes, Math.max(64, 2 * old));
-            for (int i = old; i < nodes.length; i++) {
-                nodes[i] = new EndpointInfo();
+        while (endpoints.length < count) {
+            int oldLength = endpoints.length;
+            endpoints = Arrays.copyOf(endpoints, Math.max(64, 2 * oldLength));
+            for (int i = oldLength; i < endpoints.length; i++) {
+                endpoints[i] = new EndpointInfo();
             }
         }
         for (int i = 0; i < count; i++) {
-            readNode(nodes[i]);
+            readEndpoint(endpoints[i]);
         }
-        guard(() -> router.onEndpointList(now, KINDS[mode], nodes, count, reply));
+        runReportingErrors(() -> router.onEndpointList(nowUs, LIST_KINDS[kindIndex], endpoints, count, reply));
     }
 
-    private void readNode(EndpointInfo node) {
-        node.cell = reader.u16();
+    private void readEndpoint(EndpointInfo endpoint) {
+        endpoint.cell = reader.u16();
         int state = reader.u8();
         if (state >= STATES.length) {
-            throw new InvalidInputException("node entry of unknown phase " + state);
+            throw new InvalidInputException("endpoint entry with unknown state " + state);
         }
-        node.state = STATES[state];
-        node.id = reader.i32();
-        node.weight = reader.f32();
-        node.kind = reader.u8();
-        node.zone = reader.u16();
-        long started = reader.micros();
-        node.startedUs = started == 0 ? Long.MIN_VALUE : started;
+        endpoint.state = STATES[state];
+        endpoint.id = reader.i32();
+        endpoint.weight = reader.f32();
+        endpoint.kind = reader.u8();
+        endpoint.zone = reader.u16();
+        long startedUs = reader.microseconds();
+        endpoint.startedUs = startedUs == 0 ? Long.MIN_VALUE : startedUs;
     }
 
     private static AttemptOutcome result(int status) {
@@ -314,20 +321,20 @@
             case 499 -> AttemptOutcome.CANCELLED;
             case 410 -> AttemptOutcome.NOT_SENT;
             case 404 -> AttemptOutcome.MISS;
-            default -> AttemptOutcome.ERROR; // unknown: it may have run
+            default -> AttemptOutcome.ERROR; // unknown status: the attempt may have been executed
         };
     }
 
-    private void guard(Runnable event) {
+    private void runReportingErrors(Runnable routerCall) {
         try {
-            event.run();
+            routerCall.run();
         } catch (RuntimeException e) {
-            bug(e);
+            reportInternalError(e);
         }
     }
 
-    private void bug(RuntimeException e) {
+    private void reportInternalError(RuntimeException e) {
         StackTraceElement[] trace = e.getStackTrace();
-        reply.bug(e + (trace.length > 0 ? " at " + trace[0] : ""));
+        reply.reportInternalError(e + (trace.length > 0 ? " at " + trace[0] : ""));
     }
 }
--- a/proxy/src/test/java/cacheproxy/simulator/WireTest.java
+++ b/proxy/src/test/java/cacheproxy/simulator/WireTest.java
@@ -17,11 +17,11 @@
 import java.util.HexFormat;
 import org.junit.jupiter.api.Test;
 
-/** The codec and the batch loop, with the byte examples of the wire's page. */
+/** The frame encoding and the batch loop of {@link SimHost}, with byte examples from the protocol description. */
 class WireTest {
     private static final String SETTINGS = "grades.count=1\ngrades.0.effect=pure\ngrades.0.targetMs=300.0\n"
             + "grades.0.deadlineMs=600.0\ncaps.maxAttempts=3\nunheardOf=1\n";
-    private static final String NODES = "15 00000039 00000003 00000029 02 00000002"
+    private static final String ENDPOINT_LIST = "15 00000039 00000003 00000029 02 00000002"
             + "0000 01 03124a07 3f800000 00 0000 0000000000000000"
             + "0000 01 2c9011f2 3fc00000 00 0001 40b7d40000000000";
     private static final String REQUEST = "12 0000002f 00000003 0008e32b5d3a91c4 0000 00000000 91f03b7c55d20a64"
@@ -33,17 +33,17 @@
 
     private static byte[] join(byte[]... parts) {
         ByteArrayOutputStream out = new ByteArrayOutputStream();
-        for (byte[] p : parts) {
-            out.writeBytes(p);
+        for (byte[] part : parts) {
+            out.writeBytes(part);
         }
         return out.toByteArray();
     }
 
-    private static byte[] batch(int number, byte[]... records) {
+    private static byte[] batch(int batchNumber, byte[]... records) {
         byte[] body = join(records);
         return join(
                 ByteBuffer.allocate(20)
-                        .putInt(number)
+                        .putInt(batchNumber)
                         .putInt(12 + body.length)
                         .putDouble(241)
                         .putInt(records.length)
@@ -51,7 +51,7 @@
                 body);
     }
 
-    private static byte[] hello(int instance, String settings) {
+    private static byte[] startRecord(int instance, String settings) {
         byte[] text = settings.getBytes(StandardCharsets.UTF_8);
         return ByteBuffer.allocate(21 + text.length)
                 .put((byte) 25)
@@ -69,35 +69,35 @@
         return out.toByteArray();
     }
 
-    private static String rejected(byte[] input, int repliesBefore) {
+    private static String errorMessageOf(byte[] input, int expectedReplies) {
         ByteArrayOutputStream out = new ByteArrayOutputStream();
         InvalidInputException e = assertThrows(
                 InvalidInputException.class, () -> new SimHost(new ByteArrayInputStream(input), out).run());
-        assertEquals(12 * repliesBefore, out.size(), "nothing half-written");
-        assertTrue(!e.getMessage().contains("\n"), "one line");
+        assertEquals(12 * expectedReplies, out.size(), "no partial reply");
+        assertTrue(!e.getMessage().contains("\n"), "the message is one line");
         return e.getMessage();
     }
 
     @Test
-    void anEmptyBatchIsAnsweredByteForByte() throws IOException {
+    void repliesToEmptyBatchWithEmptyReply() throws IOException {
         assertArrayEquals(hex("00000001 00000000 00000000"), run(hex("00000001 0000000c 40c06e2000000000 00000000")));
     }
 
     @Test
-    void theCleanEndOfInputIsNoError() throws IOException {
+    void endOfInputBetweenBatchesIsNoError() throws IOException {
         assertEquals(0, run(new byte[0]).length);
     }
 
     @Test
-    void actionsAreWrittenAsOnTheWiresPage() throws IOException {
-        FrameWriter w = new FrameWriter();
-        w.instance(3);
-        w.sendAttempt(0x0008e32b5d3a91c4L, 0x03124a07, 80_000);
-        w.startTimer(500_000, 0x4d);
-        w.instance(5);
-        w.log("two servers known");
+    void encodesActionsInProtocolFormat() throws IOException {
+        FrameWriter writer = new FrameWriter();
+        writer.setInstance(3);
+        writer.sendAttempt(0x0008e32b5d3a91c4L, 0x03124a07, 80_000);
+        writer.startTimer(500_000, 0x4d);
+        writer.setInstance(5);
+        writer.log("two servers known");
         ByteArrayOutputStream out = new ByteArrayOutputStream();
-        w.flush(12, out);
+        writer.flush(12, out);
         assertArrayEquals(
                 hex("0000000c 00000003 00000052"
                         + "50 00000018 00000003 0008e32b5d3a91c4 03124a07 4054000000000000"
@@ -107,20 +107,20 @@
     }
 
     @Test
-    void everyOtherActionHasItsCodeAndLength() throws IOException {
-        FrameWriter w = new FrameWriter();
-        w.instance(1);
-        w.reject(2, 1000);
-        w.fail(2);
-        w.cancelAttempt(2, 1);
-        w.checkHealth(7);
-        w.closeIdleConnections(7);
-        w.subscribeToEndpoints();
-        w.fetchEndpoints();
-        w.sendGossip(RoutingActions.ALL_PROXIES, new byte[] {0x68, 0x69, 0x20, 0x37});
-        w.bug("x");
+    void encodesRemainingActionsWithCodeAndLength() throws IOException {
+        FrameWriter writer = new FrameWriter();
+        writer.setInstance(1);
+        writer.reject(2, 1000);
+        writer.fail(2);
+        writer.cancelAttempt(2, 1);
+        writer.checkHealth(7);
+        writer.closeIdleConnections(7);
+        writer.subscribeToEndpoints();
+        writer.fetchEndpoints();
+        writer.sendGossip(RoutingActions.ALL_PROXIES, new byte[] {0x68, 0x69, 0x20, 0x37});
+        writer.reportInternalError("x");
         ByteArrayOutputStream out = new ByteArrayOutputStream();
-        w.flush(1, out);
+        writer.flush(1, out);
         assertArrayEquals(
                 hex("00000001 00000009 00000086"
                         + "51 00000014 00000001 0000000000000002 3ff0000000000000"
@@ -136,114 +136,142 @@
     }
 
     @Test
-    void aRequestIsSentToAListedNodeAndItsAnswerEndsIt() throws IOException {
-        byte[] reply = run(batch(7, hello(3, SETTINGS), hex(NODES), hex(REQUEST)));
-        ByteBuffer b = ByteBuffer.wrap(reply);
-        assertEquals(7, b.getInt());
-        assertEquals(1, b.getInt());
-        b.getInt();
-        assertEquals(80, b.get());
-        b.getInt();
-        assertEquals(3, b.getInt());
-        assertEquals(0x0008e32b5d3a91c4L, b.getLong());
-        int node = b.getInt();
-        assertTrue(node == 0x03124a07 || node == 0x2c9011f2);
+    void sendsRequestToListedEndpoint() throws IOException {
+        byte[] reply = run(batch(7, startRecord(3, SETTINGS), hex(ENDPOINT_LIST), hex(REQUEST)));
+        ByteBuffer bytes = ByteBuffer.wrap(reply);
+        assertEquals(7, bytes.getInt());
+        assertEquals(1, bytes.getInt());
+        bytes.getInt();
+        assertEquals(80, bytes.get());
+        bytes.getInt();
+        assertEquals(3, bytes.getInt());
+        assertEquals(0x0008e32b5d3a91c4L, bytes.getLong());
+        int endpoint = bytes.getInt();
+        assertTrue(endpoint == 0x03124a07 || endpoint == 0x2c9011f2);
     }
 
     @Test
-    void anInstanceMayStopAndStartWithinOneBatch() throws IOException {
-        byte[] exit = hex("13 00000004 00000003");
+    void stopsAndRestartsInstanceWithinOneBatch() throws IOException {
+        byte[] stopRecord = hex("13 00000004 00000003");
         byte[] reply =
-                run(batch(1, hello(3, SETTINGS), hex(NODES), exit, hello(3, SETTINGS), hex(NODES), hex(REQUEST)));
-        assertEquals(1, ByteBuffer.wrap(reply).getInt(4), "only the new life's attempt");
-        byte[] stopped = run(batch(1, hello(3, SETTINGS), hex(NODES), exit, hex(REQUEST)));
-        assertEquals(0, ByteBuffer.wrap(stopped).getInt(4), "a stopped instance does not act");
+                run(
+                        batch(
+                                1,
+                                startRecord(3, SETTINGS),
+                                hex(ENDPOINT_LIST),
+                                stopRecord,
+                                startRecord(3, SETTINGS),
+                                hex(ENDPOINT_LIST),
+                                hex(REQUEST)));
+        assertEquals(1, ByteBuffer.wrap(reply).getInt(4), "only the attempt of the restarted instance");
+        byte[] replyAfterStop = run(batch(1, startRecord(3, SETTINGS), hex(ENDPOINT_LIST), stopRecord, hex(REQUEST)));
+        assertEquals(0, ByteBuffer.wrap(replyAfterStop).getInt(4), "a stopped instance requests no actions");
     }
 
     @Test
-    void otherInstancesDoNotChangeWhatOneDoes() throws IOException {
-        byte[] alone = run(batch(1, hello(3, SETTINGS), hex(NODES), hex(REQUEST)));
-        byte[] hosted =
-                run(batch(1, hello(8, SETTINGS), hello(3, SETTINGS), hex(NODES), hello(9, SETTINGS), hex(REQUEST)));
-        assertArrayEquals(alone, hosted);
+    void otherInstancesDoNotAffectAnInstance() throws IOException {
+        byte[] replyAlone = run(batch(1, startRecord(3, SETTINGS), hex(ENDPOINT_LIST), hex(REQUEST)));
+        byte[] replyBesideOthers =
+                run(
+                        batch(
+                                1,
+                                startRecord(8, SETTINGS),
+                                startRecord(3, SETTINGS),
+                                hex(ENDPOINT_LIST),
+                                startRecord(9, SETTINGS),
+                                hex(REQUEST)));
+        assertArrayEquals(replyAlone, replyBesideOthers);
     }
 
     @Test
-    void aFrameLargerThanTheBufferIsReadWhole() throws IOException {
+    void readsFrameLargerThanTheBuffer() throws IOException {
         byte[] record = new byte[5 + 300_000];
         ByteBuffer.wrap(record).put((byte) 0x7b).putInt(300_000);
-        byte[] reply = run(batch(4, record, hello(3, SETTINGS), hex(NODES), hex(REQUEST)));
-        assertEquals(1, ByteBuffer.wrap(reply).getInt(4), "the request behind it is answered");
+        byte[] reply = run(batch(4, record, startRecord(3, SETTINGS), hex(ENDPOINT_LIST), hex(REQUEST)));
+        assertEquals(1, ByteBuffer.wrap(reply).getInt(4), "the request after the large record is processed");
     }
 
     @Test
-    void unknownRecordsAreSkipped() throws IOException {
+    void skipsUnknownRecords() throws IOException {
         assertEquals(
                 0, ByteBuffer.wrap(run(batch(1, hex("7b 00000003 010203")))).getInt(4));
     }
 
     @Test
-    void theReaderTakesFieldsAtTheirOffsets() {
-        FrameReader r = new FrameReader();
-        byte[] b = hex("ff fffe 80000001 0000000000000007 3fc00000 4028000000000000 6869");
-        r.range(b, 0, b.length, "test");
-        assertEquals(0xff, r.u8());
-        assertEquals(0xfffe, r.u16());
-        assertEquals(0x80000001, r.i32());
-        assertEquals(7, r.i64());
-        assertEquals(1.5f, r.f32());
-        assertEquals(12_000, r.micros());
-        assertEquals("hi", r.text(2));
-        assertEquals(0, r.left());
-        assertThrows(InvalidInputException.class, r::u8);
+    void readsConsecutiveFields() {
+        FrameReader reader = new FrameReader();
+        byte[] bytes = hex("ff fffe 80000001 0000000000000007 3fc00000 4028000000000000 6869");
+        reader.setRange(bytes, 0, bytes.length, "test");
+        assertEquals(0xff, reader.u8());
+        assertEquals(0xfffe, reader.u16());
+        assertEquals(0x80000001, reader.i32());
+        assertEquals(7, reader.i64());
+        assertEquals(1.5f, reader.f32());
+        assertEquals(12_000, reader.microseconds());
+        assertEquals("hi", reader.text(2));
+        assertEquals(0, reader.remaining());
+        assertThrows(InvalidInputException.class, reader::u8);
     }
 
     @Test
-    void badInputIsNamed() {
-        byte[] good = batch(1, hello(3, SETTINGS), hex(NODES));
-        assertTrue(rejected(java.util.Arrays.copyOf(good, good.length - 4), 0).contains("truncated"));
-        assertTrue(rejected(java.util.Arrays.copyOf(good, 11), 0).contains("header"));
+    void describesInvalidInput() {
+        byte[] validBatch = batch(1, startRecord(3, SETTINGS), hex(ENDPOINT_LIST));
+        assertTrue(errorMessageOf(java.util.Arrays.copyOf(validBatch, validBatch.length - 4), 0).contains("truncated"));
+        assertTrue(errorMessageOf(java.util.Arrays.copyOf(validBatch, 11), 0).contains("header"));
         assertTrue(
-                rejected(hex("00000001 ffffffff 40c06e2000000000 00000000"), 0).contains("number"));
+                errorMessageOf(hex("00000001 ffffffff 40c06e2000000000 00000000"), 0).contains("number"));
         assertTrue(
-                rejected(hex("00000001 0000000c 40c06e2000000000 00000009"), 0).contains("count"));
-        assertTrue(rejected(batch(1, hex("12 00ffffff 00000003")), 0).contains("runs past"));
-        assertTrue(rejected(batch(1, hex("14 00000004 00000003")), 0).contains("never started"));
-        assertTrue(rejected(batch(1, hello(3, SETTINGS), hex("14 00000004 00000003")), 0)
+                errorMessageOf(hex("00000001 0000000c 40c06e2000000000 00000009"), 0).contains("count"));
+        assertTrue(errorMessageOf(batch(1, hex("12 00ffffff 00000003")), 0).contains("runs past"));
+        assertTrue(errorMessageOf(batch(1, hex("14 00000004 00000003")), 0).contains("never started"));
+        assertTrue(errorMessageOf(batch(1, startRecord(3, SETTINGS), hex("14 00000004 00000003")), 0)
                 .contains("too short"));
-        assertTrue(rejected(batch(1, hello(3, SETTINGS), hex("15 0000000d 00000003 00000001 01 00ffffff")), 0)
+        assertTrue(errorMessageOf(
+                batch(1, startRecord(3, SETTINGS), hex("15 0000000d 00000003 00000001 01 00ffffff")), 0)
                 .contains("impossible count"));
-        assertTrue(rejected(batch(1, hello(3, "tickMs=soon")), 0).contains("tickMs"));
-        assertTrue(rejected(batch(1, hello(3, "grades.count=0")), 0).contains("class"));
-        String phase =
-                rejected(batch(1, hello(3, SETTINGS), hex(NODES.replace("0000 01 03124a07", "0000 07 03124a07"))), 0);
-        assertEquals("batch 0, record 1 (code 21): node entry of unknown phase 7", phase);
-        assertTrue(rejected(hex("00000001 3ffffff0 40c06e2000000000 00000001 7b"), 0)
+        assertTrue(errorMessageOf(batch(1, startRecord(3, "tickMs=soon")), 0).contains("tickMs"));
+        assertTrue(errorMessageOf(batch(1, startRecord(3, "grades.count=0")), 0).contains("class"));
+        String unknownStateMessage =
+                errorMessageOf(
+                        batch(
+                                1,
+                                startRecord(3, SETTINGS),
+                                hex(ENDPOINT_LIST.replace("0000 01 03124a07", "0000 07 03124a07"))),
+                        0);
+        assertEquals("batch 0, record 1 (code 21): endpoint entry with unknown state 7", unknownStateMessage);
+        assertTrue(errorMessageOf(hex("00000001 3ffffff0 40c06e2000000000 00000001 7b"), 0)
                 .contains("truncated: 1 of"));
-        assertTrue(rejected(join(batch(1), batch(2, hex("12 00ffffff 00000003"))), 1)
+        assertTrue(errorMessageOf(join(batch(1), batch(2, hex("12 00ffffff 00000003"))), 1)
                 .contains("batch 1"));
     }
 
     /**
-     * A message from a peer and a probe's result with a report: passed on, answered by nothing, extra bytes skipped.
+     * Gossip and a health check result with a load report are passed to the router, which requests no actions; extra
+     * bytes at the end of a record are skipped.
      */
     @Test
-    void messagesAndProbeResultsAreTaken() throws IOException {
-        byte[] memo = hex("16 0000000e 00000003 00000002 0004 68692037");
-        byte[] checked = hex("11 0000001c 00000003 03124a07 00c8 4032800000000000 02 3f000000 40000000 ff");
-        byte[] reply = run(batch(1, hello(3, SETTINGS + "reporting.fields=busy,q\n"), hex(NODES), memo, checked));
+    void acceptsGossipAndHealthCheckResults() throws IOException {
+        byte[] gossip = hex("16 0000000e 00000003 00000002 0004 68692037");
+        byte[] healthCheck = hex("11 0000001c 00000003 03124a07 00c8 4032800000000000 02 3f000000 40000000 ff");
+        byte[] reply = run(
+                batch(
+                        1,
+                        startRecord(3, SETTINGS + "reporting.fields=busy,q\n"),
+                        hex(ENDPOINT_LIST),
+                        gossip,
+                        healthCheck));
         assertEquals(0, ByteBuffer.wrap(reply).getInt(4));
-        assertTrue(rejected(batch(1, hello(3, SETTINGS), hex("16 0000000c 00000003 00000002 0004 6869")), 0)
+        assertTrue(errorMessageOf(batch(1, startRecord(3, SETTINGS), hex("16 0000000c 00000003 00000002 0004 6869")), 0)
                 .contains("too short"));
     }
 
     @Test
-    void aLoadReportIsReadByTheNamesInTheSettings() {
-        FrameReader r = new FrameReader();
-        byte[] b = hex("08 3f800000 40000000 3f000000 41200000 40800000 40a00000 3e800000 40c00000");
-        r.range(b, 0, b.length, "test");
+    void readsLoadReportByFieldNamesInTheSettings() {
+        FrameReader reader = new FrameReader();
+        byte[] bytes = hex("08 3f800000 40000000 3f000000 41200000 40800000 40a00000 3e800000 40c00000");
+        reader.setRange(bytes, 0, bytes.length, "test");
         LoadReport report = new LoadReport();
-        SimHost.readReport(r, "rif,q,busy,lat_ms,rate,fail_rate,x0,x1".split(","), report);
+        SimHost.readReport(reader, "rif,q,busy,lat_ms,rate,fail_rate,x0,x1".split(","), report);
         assertEquals(1, report.inFlight);
         assertEquals(2, report.queueLength);
         assertEquals(0.5, report.cpuUtilization);
@@ -252,34 +280,35 @@
         assertEquals(5, report.errorsPerSecond);
         assertEquals(0.25, report.hitRatio);
         assertEquals(6, report.originFetchesInFlight);
-        r.range(hex("00"), 0, 1, "test");
-        SimHost.readReport(r, new String[] {"busy"}, report);
+        reader.setRange(hex("00"), 0, 1, "test");
+        SimHost.readReport(reader, new String[] {"busy"}, report);
         assertTrue(
                 Double.isNaN(report.cpuUtilization) && Double.isNaN(report.queueLength),
-                "nothing is left of the last one");
+                "no value of the previous report remains");
     }
 
     @Test
-    void aRequestIsReadWithItsSizeHintAndFlags() {
-        FrameReader r = new FrameReader();
-        byte[] b = hex("0008e32b5d3a91c4 0002 00000005 91f03b7c55d20a64 40c0e62000000000 4028000000000000 44e10000 07");
-        r.range(b, 0, b.length, "test");
-        RoutingRequest q = new RoutingRequest();
-        SimHost.readRequest(r, q);
-        assertEquals(0x0008e32b5d3a91c4L, q.id);
-        assertEquals(2, q.requestClass);
-        assertEquals(5, q.tenant);
-        assertEquals(0x91f03b7c55d20a64L, q.key);
-        assertEquals(8_652_250, q.deadlineAtUs);
-        assertEquals(12_000, q.expectedWorkUs);
-        assertEquals(1800, q.sizeBytes);
-        assertTrue(q.clientRetry && q.write);
+    void readsRequestWithSizeExpectedWorkAndFlags() {
+        FrameReader reader = new FrameReader();
+        byte[] bytes = hex(
+                "0008e32b5d3a91c4 0002 00000005 91f03b7c55d20a64 40c0e62000000000 4028000000000000 44e10000 07");
+        reader.setRange(bytes, 0, bytes.length, "test");
+        RoutingRequest request = new RoutingRequest();
+        SimHost.readRequest(reader, request);
+        assertEquals(0x0008e32b5d3a91c4L, request.id);
+        assertEquals(2, request.requestClass);
+        assertEquals(5, request.tenant);
+        assertEquals(0x91f03b7c55d20a64L, request.key);
+        assertEquals(8_652_250, request.deadlineAtUs);
+        assertEquals(12_000, request.expectedWorkUs);
+        assertEquals(1800, request.sizeBytes);
+        assertTrue(request.clientRetry && request.write);
     }
 
     @Test
-    void aFailureInsideTheModuleIsReportedAsABug() throws IOException {
-        byte[] unlisted = hex(REQUEST.replace("0008e32b5d3a91c4", "ffffffffffffffff"));
-        byte[] reply = run(batch(1, hello(3, SETTINGS), hex(NODES), unlisted));
+    void reportsExceptionInTheRouterAsInternalError() throws IOException {
+        byte[] requestWithNegativeId = hex(REQUEST.replace("0008e32b5d3a91c4", "ffffffffffffffff"));
+        byte[] reply = run(batch(1, startRecord(3, SETTINGS), hex(ENDPOINT_LIST), requestWithNegativeId));
         assertEquals(1, ByteBuffer.wrap(reply).getInt(4));
         assertEquals(89, reply[12]);
         assertTrue(new String(reply, StandardCharsets.UTF_8).contains("negative key"));
