--- a/proxy/src/main/java/cacheproxy/routing/AdmittedRate.java
+++ b/proxy/src/main/java/cacheproxy/routing/AdmittedRate.java
@@ -1,8 +1,8 @@
 package cacheproxy.routing;
 
 /**
- * The rate of requests that this proxy admits. Counts decay over {@link #WINDOW_US}; while the proxy has run for less
- * than that they stand for a shorter time, {@link #observedUs}.
+ * The rate of requests that this proxy admits. Counts decay over {@link #WINDOW_US}; until the proxy has run for that
+ * long they cover a shorter time, {@link #observedUs}.
  */
 final class AdmittedRate {
     static final double WINDOW_US = 10e6;
@@ -21,7 +21,7 @@
         admitted.increment(nowUs);
     }
 
-    /** The time that counts stand for, in microseconds. */
+    /** The time that counts cover, in microseconds. */
     double observedUs(long nowUs) {
         return startedUs == Long.MIN_VALUE ? 0 : WINDOW_US * (1 - Math.exp((startedUs - nowUs) / WINDOW_US));
     }
--- a/proxy/src/main/java/cacheproxy/routing/CacheResult.java
+++ b/proxy/src/main/java/cacheproxy/routing/CacheResult.java
@@ -2,7 +2,7 @@
 
 /** What a response says about the endpoint's cache. */
 public enum CacheResult {
-    /** Nothing. */
+    /** The response does not say. */
     NONE,
     /** The value was cached. */
     HIT,
--- a/proxy/src/main/java/cacheproxy/routing/DeadlinePolicy.java
+++ b/proxy/src/main/java/cacheproxy/routing/DeadlinePolicy.java
@@ -7,9 +7,9 @@
 
     /** The least Retry-After, as a share of the maximum. */
     private static final double MIN_RETRY_AFTER_SHARE = 0.2;
-    /** Share of the remaining time that Retry-After may take, which leaves some for clients that come late. */
+    /** Largest share of the remaining time that Retry-After takes; the rest is for clients that retry late. */
     private static final double RETRY_AFTER_SHARE = 0.6;
-    /** The response may be delayed until this share of the remaining time is left. */
+    /** The client must be notified while at least this share of the remaining time is left. */
     private static final double LATEST_NOTIFICATION_SHARE = 0.8;
 
     private final RoutingSettings settings;
@@ -20,7 +20,7 @@
 
     /**
      * The deadline, or the latency objective where later responses have no value. An attempt gets all the time until
-     * then, so that one which times out leaves none for a retry: {@link HedgingPolicy} is what answers slow endpoints.
+     * then, so one that times out leaves no time for a retry; {@link HedgingPolicy} deals with slow endpoints instead.
      */
     long giveUpAtUs(PendingRequest pending) {
         if (pending.requestClass.lateResponseValue > 0) {
@@ -30,15 +30,15 @@
         return Math.min(pending.deadlineAtUs, objectiveAtUs - 2 * settings.timerGranularityUs);
     }
 
-    /** The latest time at which the client may try again: its class's deadline, or later if it waits longer. */
+    /** The latest time at which the client may retry: its class's deadline, or its own deadline if that is later. */
     long lastClientRetryUs(PendingRequest pending) {
         long waitUs = pending.deadlineAtUs - pending.arrivedUs;
         return pending.arrivedUs + Math.max(pending.requestClass.deadlineUs, waitUs);
     }
 
     /**
-     * Retry-After of a rejection in microseconds, whatever its reason: the longer, the more probable it is that the
-     * tenant is rejected again. 0: none.
+     * Retry-After of a rejection in microseconds, whatever its reason: longer if the tenant is more likely to be
+     * rejected again. 0: none.
      */
     long retryAfterUs(double rejectionProbability) {
         if (!settings.retryAfterAllowed) {
@@ -47,7 +47,7 @@
         return (long) (settings.maxRetryAfterUs * Math.max(MIN_RETRY_AFTER_SHARE, rejectionProbability));
     }
 
-    /** Retry-After of a rejection that holds only for the remaining time. */
+    /** Retry-After of a rejection after which a retry is safe only for the remaining time. */
     long boundedRetryAfterUs(long retryAfterUs, long remainingUs) {
         return settings.retryAfterAllowed ? Math.min(retryAfterUs, (long) (RETRY_AFTER_SHARE * remainingUs)) : 0;
     }
--- a/proxy/src/main/java/cacheproxy/routing/DiscoveryPollPolicy.java
+++ b/proxy/src/main/java/cacheproxy/routing/DiscoveryPollPolicy.java
@@ -1,11 +1,12 @@
 package cacheproxy.routing;
 
 /**
- * When the router asks to be subscribed to the endpoint list. The first subscriptions of many proxies that start
- * together are spread, or they would overload service discovery; failed ones are repeated with a random backoff.
+ * When the router subscribes to the endpoint list. The first subscriptions of many proxies that start together are
+ * spread over time, because they would overload service discovery; failed ones are repeated after a random backoff.
  *
- * <p>On real sockets it adds nothing to the age of the list: {@code discovery.DiscoveryClient} begins and repeats its
- * watch sooner by timers of its own ({@code WatchTimeouts}), and ignores a subscription while a watch is open or due.
+ * <p>In the real proxy these delays do not make the list older: {@code discovery.DiscoveryClient} starts and repeats
+ * its watch sooner with its own timers ({@code WatchTimeouts}), and ignores a subscription while a watch is open or
+ * due.
  */
 final class DiscoveryPollPolicy {
     /** First subscriptions are spread over at most this share of the time in which one must be made. */
@@ -45,7 +46,7 @@
         subscribed = false;
     }
 
-    /** Time until the next try: from half to all of the backoff, which doubles once. */
+    /** Time until the next attempt: from half to all of the backoff, which doubles once. */
     long backoffUs() {
         int multiple = consecutiveFailures++ == 0 ? 1 : MAX_BACKOFF_MULTIPLE;
         return (long) (BACKOFF_US * multiple * (0.5 + 0.5 * random.nextDouble()));
--- a/proxy/src/main/java/cacheproxy/routing/Endpoint.java
+++ b/proxy/src/main/java/cacheproxy/routing/Endpoint.java
@@ -1,6 +1,6 @@
 package cacheproxy.routing;
 
-/** A cache endpoint or the origin, with what this proxy has learnt about it. */
+/** A cache endpoint or the origin, with what this proxy has observed of it. */
 final class Endpoint {
     private static final double UTILIZATION_TIME_CONSTANT_US = 10e6;
     private static final long NO_IDLE_CONNECTION = Long.MIN_VALUE;
@@ -21,7 +21,7 @@
     /** When an attempt of this proxy last ended and left its connection idle. */
     long idleSinceUs = NO_IDLE_CONNECTION;
 
-    /** State of {@link SlowStartLimiter}: the start that permits are counted from. */
+    /** State of {@link SlowStartLimiter}: the endpoint's start from which its permits are counted. */
     long permitsSinceUs = Long.MIN_VALUE;
 
     double permits;
--- a/proxy/src/main/java/cacheproxy/routing/EndpointListKind.java
+++ b/proxy/src/main/java/cacheproxy/routing/EndpointListKind.java
@@ -8,6 +8,6 @@
     FULL,
     /** All endpoints as last known, for example from the configuration; possibly out of date. */
     CACHED,
-    /** Nothing: the call to service discovery failed. */
+    /** No endpoints: the call to service discovery failed. */
     FAILED
 }
--- a/proxy/src/main/java/cacheproxy/routing/EndpointSelector.java
+++ b/proxy/src/main/java/cacheproxy/routing/EndpointSelector.java
@@ -2,13 +2,13 @@
 
 /**
  * Selects the endpoint of an attempt. A key's candidates are ranked by weighted rendezvous hashing; of the first two
- * that may take the request the less busy one is selected. An endpoint may not take it if it was tried already, if the
- * retry policy forbids it, if it is warming up and limited, or if it is an outlier.
+ * that are eligible for the request the less busy one is selected. An endpoint is not eligible if it was tried already,
+ * if the retry policy forbids it, if slow start does not admit the request, or if it is passed over as an outlier.
  */
 final class EndpointSelector {
     private static final int CANDIDATES = 2;
-    /** Candidates and spares for those that may not take the request. */
-    private static final int RANKED = 6;
+    /** Endpoints that are ranked: the candidates and replacements for endpoints that are not eligible. */
+    private static final int MAX_RANKED = 6;
     /** With equal requests in flight the second candidate is selected if it reports this much less CPU utilization. */
     private static final double UTILIZATION_MARGIN = 0.2;
 
@@ -34,14 +34,14 @@
         this.random = random;
     }
 
-    /** Null: no endpoint may take the request now. */
+    /** Null: no endpoint is eligible for the request now. */
     Endpoint select(PendingRequest pending, long nowUs) {
         long key = hashKey(pending, nowUs);
-        Endpoint[] ranked = table.rank(key, RANKED);
+        Endpoint[] ranked = table.rank(key, MAX_RANKED);
         Endpoint selected = null;
         int candidates = 0;
         for (int i = 0; i < ranked.length && ranked[i] != null && candidates < CANDIDATES; i++) {
-            if (!mayTake(ranked[i], pending, key, nowUs)) {
+            if (!isEligible(ranked[i], pending, key, nowUs)) {
                 continue;
             }
             if (candidates == 0 || isLessBusy(ranked[i], selected, nowUs)) {
@@ -52,7 +52,7 @@
         return selected;
     }
 
-    /** The key to rank by: random for a request without one, and varied for a popular one. */
+    /** The key to rank by: random for a request without a key; for a popular key, one of several variants of it. */
     private long hashKey(PendingRequest pending, long nowUs) {
         if (pending.key == 0) {
             pending.popular = false;
@@ -63,15 +63,15 @@
         return pairs > 1 ? pending.key ^ (long) (random.nextDouble() * pairs) << 48 : pending.key;
     }
 
-    private boolean mayTake(Endpoint endpoint, PendingRequest pending, long key, long nowUs) {
+    private boolean isEligible(Endpoint endpoint, PendingRequest pending, long key, long nowUs) {
         return !pending.hasTried(endpoint)
                 && retryPolicy.maySend(pending, endpoint, nowUs)
                 && (!table.isWarmingUp(endpoint, nowUs)
-                        || slowStart.admits(endpoint, pending, key, table.weight, nowUs))
+                        || slowStart.admits(endpoint, pending, key, table.totalWeight, nowUs))
                 && !outliers.passesOver(endpoint, key, nowUs);
     }
 
-    /** By requests of this proxy in flight; these are often equal, and then reported utilization decides. */
+    /** Compares this proxy's requests in flight; if they are equal, as they often are, the CPU utilization. */
     private static boolean isLessBusy(Endpoint endpoint, Endpoint other, long nowUs) {
         if (endpoint.inFlight != other.inFlight) {
             return endpoint.inFlight < other.inFlight;
--- a/proxy/src/main/java/cacheproxy/routing/EndpointState.java
+++ b/proxy/src/main/java/cacheproxy/routing/EndpointState.java
@@ -1,13 +1,13 @@
 package cacheproxy.routing;
 
 /**
- * Life cycle state of an endpoint as the endpoint list gives it. The list's own words are SERVING, DRAINING and
- * DELETED; the control channel's are {@code serving} and {@code draining}.
+ * State of an endpoint in the endpoint list. The list itself contains SERVING, DRAINING or DELETED; the control channel
+ * uses {@code serving} and {@code draining}.
  */
 public enum EndpointState {
     /** Takes requests. */
     READY,
-    /** Completes what it has, takes nothing new. */
+    /** Completes requests in flight and takes no new ones. */
     DRAINING,
     /** No longer listed. */
     GONE
--- a/proxy/src/main/java/cacheproxy/routing/EndpointTable.java
+++ b/proxy/src/main/java/cacheproxy/routing/EndpointTable.java
@@ -3,8 +3,8 @@
 import java.util.Arrays;
 
 /**
- * The endpoint list as last known, without endpoints that are gone and have nothing in flight; and flat arrays of those
- * that are ready.
+ * The endpoint list as last known, without endpoints that are gone and have no attempts in flight; and flat arrays of
+ * those that are ready.
  */
 final class EndpointTable {
     private final LongHashMap<Endpoint> byId = new LongHashMap<>();
@@ -19,10 +19,10 @@
     int readyCount;
     Endpoint[] origins = new Endpoint[0];
     /**
-     * The total weight that the tenants' quotas were set for: that of all endpoints first listed, or of all that were
-     * ever warm together. New endpoints do not lower what one of them can take, nor do lost ones raise it.
+     * The total weight that the tenants' quotas were set for: that of all endpoints in the first list, or the largest
+     * that was ever warm at the same time. New endpoints do not lower the capacity of one, nor do lost ones raise it.
      */
-    double weight;
+    double totalWeight;
 
     private Endpoint[] best = new Endpoint[0];
     private double[] bestScores = new double[0];
@@ -44,7 +44,7 @@
     void apply(long nowUs, EndpointListKind kind, EndpointInfo[] endpoints, int count) {
         if (kind != EndpointListKind.DELTA) {
             for (int i = 0; i < knownCount; i++) {
-                known[i].state = EndpointState.GONE; // unless the list names it below
+                known[i].state = EndpointState.GONE; // overwritten below if the list contains it
             }
         }
         for (int i = 0; i < count; i++) {
@@ -52,7 +52,7 @@
         }
         removeGone();
         rebuildReady();
-        updateWeight(nowUs);
+        updateTotalWeight(nowUs);
     }
 
     private void update(EndpointInfo info) {
@@ -123,26 +123,26 @@
         origins = Arrays.copyOf(readyOrigins, originCount);
     }
 
-    private void updateWeight(long nowUs) {
+    private void updateTotalWeight(long nowUs) {
         double warmWeight = 0;
         for (int i = 0; i < readyCount; i++) {
-            warmWeight += weight == 0 || !isWarmingUp(ready[i], nowUs) ? ready[i].weight : 0;
+            warmWeight += totalWeight == 0 || !isWarmingUp(ready[i], nowUs) ? ready[i].weight : 0;
         }
-        weight = Math.max(weight, warmWeight);
+        totalWeight = Math.max(totalWeight, warmWeight);
     }
 
     /**
      * Weighted rendezvous hashing: ranks the endpoints by an approximately exponential draw over their weight, lowest
      * first. The array is reused by the next call and ends with nulls where fewer are ready.
      */
-    Endpoint[] rank(long key, int wanted) {
-        if (best.length < wanted) {
-            best = new Endpoint[wanted];
-            bestScores = new double[wanted];
+    Endpoint[] rank(long key, int maxRanked) {
+        if (best.length < maxRanked) {
+            best = new Endpoint[maxRanked];
+            bestScores = new double[maxRanked];
         }
         Arrays.fill(best, null);
         int ranked = 0;
-        int limit = Math.min(wanted, readyCount);
+        int limit = Math.min(maxRanked, readyCount);
         double worstScore = Double.MAX_VALUE;
         for (int i = 0; i < readyCount; i++) {
             double uniform = SplitMix64.toUnitInterval(SplitMix64.mix(key ^ salts[i]));
--- a/proxy/src/main/java/cacheproxy/routing/EndpointWeightSource.java
+++ b/proxy/src/main/java/cacheproxy/routing/EndpointWeightSource.java
@@ -1,6 +1,6 @@
 package cacheproxy.routing;
 
-/** What the weights of the endpoint list stand for. */
+/** What the weights of the endpoint list are based on. */
 public enum EndpointWeightSource {
     /** Nothing: all endpoints weigh the same. */
     NONE,
--- a/proxy/src/main/java/cacheproxy/routing/FailureProbability.java
+++ b/proxy/src/main/java/cacheproxy/routing/FailureProbability.java
@@ -3,7 +3,7 @@
 /**
  * BLUE with a single bucket: the probability with which one endpoint, or the origin, is avoided. A failure raises it by
  * a step, a success lowers it by a fraction of the step, and it decays with time. Steps are inversely proportional to
- * the request rate, so that isolated failures at a busy proxy do not add up faster than they decay.
+ * the request rate, so that isolated failures at a busy proxy do not accumulate faster than they decay.
  */
 final class FailureProbability {
     static final double TIME_CONSTANT_US = 5e6;
--- a/proxy/src/main/java/cacheproxy/routing/FairRouter.java
+++ b/proxy/src/main/java/cacheproxy/routing/FairRouter.java
@@ -3,10 +3,10 @@
 /**
  * The {@link RequestRouter} of cacheproxy. It keeps the requests in progress and composes the policies, each of which
  * makes one decision: {@link TenantAdmission} and {@link OriginAdmission} (admit or reject), {@link EndpointSelector}
- * (where to send), {@link RetryPolicy} and {@link RetryBudget} (whether to send again), {@link HedgingPolicy} (when to
+ * (where to send), {@link RetryPolicy} and {@link RetryBudget} (whether to retry), {@link HedgingPolicy} (when to
  * send a second attempt), {@link DeadlinePolicy} (when to give up, Retry-After), {@link IdleTimeoutPolicy} (when to
  * close idle connections) and {@link DiscoveryPollPolicy} (when to subscribe to the endpoint list).
- * {@link OutcomeLearning} hands outcomes to those that learn from them.
+ * {@link OutcomeLearning} passes the outcomes of attempts to the policies that adapt to them.
  */
 public final class FairRouter implements RequestRouter {
     private static final int TIMER_KIND_BITS = 3;
@@ -34,13 +34,13 @@
     private final DiscoveryPollPolicy discovery;
     private long nextLogUs = Long.MIN_VALUE;
 
-    /** Throws {@link IllegalArgumentException} that names the setting no router could work with. */
+    /** Throws {@link IllegalArgumentException} that names the first setting that is invalid. */
     public FairRouter(RoutingSettings settings, long seed, long nowUs, RoutingActions actions) {
         settings.check();
         this.settings = settings;
         maxAttempts = Math.min(PendingRequest.MAX_ATTEMPTS, settings.maxAttempts);
         SplitMix64 random = new SplitMix64(seed);
-        // the order of these draws decides what a seed stands for
+        // the draws keep this order: another order would change the decisions that a seed reproduces
         long activeSeed = random.next();
         long standbySeed = random.next();
         popularity = new KeyPopularity(random.next());
@@ -112,7 +112,7 @@
         log(nowUs, "refusing requests", actions);
         actions.explain(request.id, RejectionReason.TENANT_THROTTLED);
         if (request.clientRetry && !requestClass.isDeduplicatedUntilDeadline(settings)) {
-            // an earlier try may have been executed, and its repeats may not be discarded any more
+            // an earlier request may have been executed, and endpoints may no longer discard a repeat of it
             actions.fail(request.id);
         } else {
             double probability = tenants.rejectionProbability(tenant, nowUs);
@@ -133,7 +133,7 @@
         }
     }
 
-    /** Sends an attempt; {@code endpoint} null: none may take it, and the request ends with its last attempt. */
+    /** Sends an attempt. {@code endpoint} null: no endpoint is eligible; ends the request if nothing is in flight. */
     private void send(PendingRequest pending, Endpoint endpoint, long nowUs, RoutingActions actions) {
         long giveUpAtUs = deadlines.giveUpAtUs(pending);
         long remainingUs = giveUpAtUs - nowUs;
@@ -179,7 +179,7 @@
             endpoint = selector.selectOrigin();
         }
         if (endpoint != null && !retryPolicy.maySend(pending, endpoint, nowUs)) {
-            endpoint = null; // an earlier attempt may have been executed
+            endpoint = null; // an earlier attempt may have been executed, and this would repeat it
         }
         pending.sentToOrigin |= endpoint != null;
         send(pending, endpoint, nowUs, actions);
@@ -217,7 +217,7 @@
                 && pending.attempts < maxAttempts;
     }
 
-    /** Ends a request that got no response, with a rejection where a client's retry is harmless. */
+    /** Ends a request that got no response: rejected if a retry by the client is safe, otherwise failed. */
     private void finish(PendingRequest pending, long nowUs, RoutingActions actions) {
         if (pending.concluded) {
             return;
@@ -228,21 +228,21 @@
     }
 
     private void rejectOrFail(PendingRequest pending, long nowUs, RoutingActions actions) {
-        long harmlessUntilUs = retryPolicy.clientRetryHarmlessUntilUs(pending);
+        long safeUntilUs = retryPolicy.clientRetrySafeUntilUs(pending);
         long retryAfterUs = deadlines.retryAfterUs(tenants.rejectionProbability(pending.tenant, nowUs));
-        if (harmlessUntilUs >= deadlines.lastClientRetryUs(pending)) {
+        if (safeUntilUs >= deadlines.lastClientRetryUs(pending)) {
             actions.reject(pending.id, retryAfterUs);
             return;
         }
-        if (harmlessUntilUs < nowUs) {
+        if (safeUntilUs < nowUs) {
             actions.fail(pending.id);
             return;
         }
-        long boundedUs = deadlines.boundedRetryAfterUs(retryAfterUs, harmlessUntilUs - nowUs);
+        long boundedUs = deadlines.boundedRetryAfterUs(retryAfterUs, safeUntilUs - nowUs);
         if (boundedUs < DeadlinePolicy.MIN_RETRY_AFTER_US) {
             actions.fail(pending.id);
         } else {
-            actions.reject(pending.id, boundedUs, deadlines.notifyBeforeUs(harmlessUntilUs, boundedUs));
+            actions.reject(pending.id, boundedUs, deadlines.notifyBeforeUs(safeUntilUs, boundedUs));
         }
     }
 
@@ -281,7 +281,7 @@
         if (report.cpuUtilization >= 0) {
             endpoint.cpuUtilization.set(report.cpuUtilization, nowUs);
         } else if (cacheResult == CacheResult.HIT && outcome == AttemptOutcome.OK) {
-            endpoint.cpuUtilization.set(pending.excessLatency(latencyUs), nowUs); // no report: estimated
+            endpoint.cpuUtilization.set(pending.excessLatency(latencyUs), nowUs); // no load report: estimated
         }
         if (outcome != AttemptOutcome.CANCELLED && outcome != AttemptOutcome.NOT_SENT) {
             learning.record(pending, endpoint, outcome, cacheResult, latencyUs, nowUs);
@@ -368,11 +368,11 @@
             long latencyUs,
             LoadReport report,
             RoutingActions actions) {
-        // this router requests none
+        // this router requests no health checks
     }
 
     @Override
     public void onGossip(long nowUs, int proxy, byte[] data, RoutingActions actions) {
-        // this router sends none
+        // this router sends no gossip
     }
 }
--- a/proxy/src/main/java/cacheproxy/routing/HedgingPolicy.java
+++ b/proxy/src/main/java/cacheproxy/routing/HedgingPolicy.java
@@ -1,8 +1,8 @@
 package cacheproxy.routing;
 
 /**
- * When a hedged request is sent: once an attempt takes longer than the mean latency of reads by four mean deviations,
- * as for a retransmission timeout, within bounds given by the latency objective.
+ * When a hedged request is sent: once an attempt exceeds the mean latency of reads by four mean deviations, as in the
+ * calculation of TCP's retransmission timeout, within bounds given by the latency objective.
  */
 final class HedgingPolicy {
     /** Bounds of the delay, as shares of the latency objective. */
@@ -15,7 +15,7 @@
     private double meanLatencyUs;
     private double meanDeviationUs;
 
-    /** A read succeeded after this time. */
+    /** Records the latency of a successful read. */
     void recordLatency(long latencyUs) {
         meanDeviationUs += (Math.abs(latencyUs - meanLatencyUs) - meanDeviationUs) / SMOOTHING_DIVISOR;
         meanLatencyUs += (latencyUs - meanLatencyUs) / SMOOTHING_DIVISOR;
--- a/proxy/src/main/java/cacheproxy/routing/IdleTimeoutPolicy.java
+++ b/proxy/src/main/java/cacheproxy/routing/IdleTimeoutPolicy.java
@@ -1,20 +1,21 @@
 package cacheproxy.routing;
 
 /**
- * How long a connection may idle before it is not trusted any more. No response on a connection that had idled (it was
- * dropped silently), or an endpoint that takes no new connections (all its places are held by idle ones), reduces the
- * time by a factor of e; the reduction decays, and a successful use after idling takes one factor back. A connection
- * that would exceed the time before its next use is closed at once, which frees its place. A crashed endpoint looks
- * alike and costs some handshakes. The origin is exempt: handshakes cost it most when it is slow.
+ * How long a connection may be idle before it is no longer used. Two failures each reduce this timeout by a factor of
+ * e: no response on a connection that had idled (it may have been dropped silently), and an endpoint that accepts no
+ * new connections (idle ones may take up all that it allows). The reduction decays, and a successful use after idling
+ * undoes one factor. A connection that would exceed the timeout before its next use is closed at once, which frees its
+ * place at the endpoint. A crashed endpoint fails in the same way and costs some extra handshakes. The origin is
+ * exempt, because handshakes cost it most when it is slow.
  */
 final class IdleTimeoutPolicy {
     /** Steps and the maximum are exponents of e. */
     private static final double STEP = 1;
-    /** Keeps the timeout above the time that connections in use idle, or no success could take it back. */
+    /** Keeps the timeout above the idle time of connections in regular use; otherwise no success could undo it. */
     private static final double MAX_REDUCTION = 4;
 
     private static final double TIME_CONSTANT_US = 60e6;
-    /** A connection that idled for more than this share of the timeout counts as one that had idled. */
+    /** A use counts as one after idling if the connection idled for more than this share of the timeout. */
     private static final double IDLED_SHARE = 0.25;
 
     private final RoutingSettings settings;
@@ -37,7 +38,7 @@
         return endpoint.hasIdleConnection() && nowUs - endpoint.idleSinceUs > timeoutUs(nowUs);
     }
 
-    /** An attempt has ended. Returns whether the endpoint's idle connections are to be closed. */
+    /** Records the end of an attempt. Returns whether the endpoint's idle connections are to be closed. */
     boolean recordOutcome(PendingRequest pending, int attempt, AttemptOutcome outcome, long nowUs) {
         Endpoint endpoint = pending.endpoints[attempt];
         double timeoutUs = timeoutUs(nowUs);
@@ -68,7 +69,7 @@
         return table.readyCount / admittedRate.perSecond(nowUs) * 1e6;
     }
 
-    /** An attempt is slow. Returns whether its connection had idled, and idle connections are to be closed. */
+    /** Records a slow attempt. Returns whether its connection had idled, so that idle ones are to be closed. */
     boolean recordSlowAttempt(PendingRequest pending, int attempt, long nowUs) {
         double shortestTimeoutUs = settings.idleTimeoutUs * Math.exp(-MAX_REDUCTION);
         if (pending.idledUs[attempt] <= shortestTimeoutUs * IDLED_SHARE) {
--- a/proxy/src/main/java/cacheproxy/routing/KeyPopularity.java
+++ b/proxy/src/main/java/cacheproxy/routing/KeyPopularity.java
@@ -1,9 +1,9 @@
 package cacheproxy.routing;
 
 /**
- * Counts requests by key and says on how many endpoint pairs a key is spread. Only a key that alone would overload its
- * endpoints is spread, on as many pairs as it needs. The hashed table of {@link StochasticFairBlue} serves as a
- * counting table here; nothing is rejected.
+ * Counts requests by key and determines over how many endpoint pairs a key is spread. Only a key that would overload
+ * its endpoints by itself is spread, over as many pairs as it needs. The hashed table of {@link StochasticFairBlue}
+ * holds the counts here; nothing is rejected.
  */
 final class KeyPopularity {
     private static final double TIME_CONSTANT_US = 20e6;
@@ -11,7 +11,7 @@
     private static final int BUCKETS_PER_LEVEL = 256;
     /** Below this many earlier requests, decayed, a key is not popular. */
     private static final double MIN_EARLIER_REQUESTS = 0.3;
-    /** A key is spread when it alone fills this share of what one endpoint gets on average. */
+    /** A key is spread if its requests alone reach this share of an endpoint's average requests. */
     private static final double POPULAR_ENDPOINT_SHARE = 0.5;
 
     private final StochasticFairBlue countsByKey;
@@ -26,10 +26,10 @@
         total.increment(nowUs);
     }
 
-    /** On how many pairs of endpoints the key is spread; to be called after {@link #record}. */
+    /** Number of endpoint pairs over which the key is spread; to be called after {@link #record}. */
     int pairs(long key, int readyEndpoints, long nowUs) {
         double all = total.get(nowUs);
-        // less this request and the collisions that are to be expected
+        // without this request and the expected hash collisions
         double earlier = countsByKey.min(key, nowUs) - 1 - all / BUCKETS_PER_LEVEL;
         double pairs = 1;
         if (earlier >= MIN_EARLIER_REQUESTS) {
--- a/proxy/src/main/java/cacheproxy/routing/LongHashMap.java
+++ b/proxy/src/main/java/cacheproxy/routing/LongHashMap.java
@@ -4,14 +4,14 @@
 
 /** A hash map from non-negative longs with linear probing: no boxing, and no iteration order to depend on. */
 final class LongHashMap<T> {
-    private static final long FREE = -1;
+    private static final long EMPTY_KEY = -1;
 
     private long[] keys = new long[16];
     private Object[] values = new Object[16];
     private int size;
 
     LongHashMap() {
-        Arrays.fill(keys, FREE);
+        Arrays.fill(keys, EMPTY_KEY);
     }
 
     int size() {
@@ -21,7 +21,7 @@
     private int slot(long key) {
         int mask = keys.length - 1;
         int i = (int) (key * 0x9e3779b97f4a7c15L >>> 40) & mask;
-        while (keys[i] != FREE && keys[i] != key) {
+        while (keys[i] != EMPTY_KEY && keys[i] != key) {
             i = i + 1 & mask;
         }
         return i;
@@ -37,7 +37,7 @@
             throw new IllegalArgumentException("negative key " + key);
         }
         int i = slot(key);
-        if (keys[i] == FREE) {
+        if (keys[i] == EMPTY_KEY) {
             size++;
         }
         keys[i] = key;
@@ -50,17 +50,17 @@
     void remove(long key) {
         int mask = keys.length - 1;
         int i = slot(key);
-        if (keys[i] == FREE) {
+        if (keys[i] == EMPTY_KEY) {
             return;
         }
-        keys[i] = FREE;
+        keys[i] = EMPTY_KEY;
         values[i] = null;
         size--;
-        // reinsert the entries behind the gap, so that each stays reachable from its own slot
-        for (int j = i + 1 & mask; keys[j] != FREE; j = j + 1 & mask) {
+        // reinsert the entries after the gap, so that linear probing still finds each of them
+        for (int j = i + 1 & mask; keys[j] != EMPTY_KEY; j = j + 1 & mask) {
             long movedKey = keys[j];
             Object movedValue = values[j];
-            keys[j] = FREE;
+            keys[j] = EMPTY_KEY;
             values[j] = null;
             int target = slot(movedKey);
             keys[target] = movedKey;
@@ -74,10 +74,10 @@
         Object[] oldValues = values;
         keys = new long[2 * oldKeys.length];
         values = new Object[keys.length];
-        Arrays.fill(keys, FREE);
+        Arrays.fill(keys, EMPTY_KEY);
         size = 0;
         for (int i = 0; i < oldKeys.length; i++) {
-            if (oldKeys[i] != FREE) {
+            if (oldKeys[i] != EMPTY_KEY) {
                 put(oldKeys[i], (T) oldValues[i]);
             }
         }
--- a/proxy/src/main/java/cacheproxy/routing/OriginAdmission.java
+++ b/proxy/src/main/java/cacheproxy/routing/OriginAdmission.java
@@ -7,12 +7,12 @@
 final class OriginAdmission {
     /** Share of all requests that reach the origin; only the size of steps depends on it. */
     private static final double ORIGIN_REQUEST_SHARE = 0.1;
-    /** Failures count this much more than successes would suggest: all proxies share the origin. */
+    /** Weight of a failure compared with a success: above 1, because all proxies share the origin. */
     private static final double FAILURE_WEIGHT = 3;
-    /** A write still in flight says less than a failed one. */
+    /** A write still in flight is weaker evidence than a failed one. */
     private static final double SLOW_WRITE_WEIGHT = FAILURE_WEIGHT * 0.5;
 
-    private static final double LEAST_PRIORITY_WEIGHT = 1e-6;
+    private static final double MIN_PRIORITY_WEIGHT = 1e-6;
 
     private final FailureProbability overload = new FailureProbability();
     private final AdmittedRate admittedRate;
@@ -22,18 +22,18 @@
     OriginAdmission(RoutingSettings settings, AdmittedRate admittedRate, SplitMix64 random) {
         this.admittedRate = admittedRate;
         this.random = random;
-        double least = Double.MAX_VALUE;
+        double minimum = Double.MAX_VALUE;
         for (RequestClass requestClass : settings.requestClasses) {
-            least = Math.min(least, requestClass.priorityWeight);
+            minimum = Math.min(minimum, requestClass.priorityWeight);
         }
-        leastPriorityWeight = Math.max(LEAST_PRIORITY_WEIGHT, least);
+        leastPriorityWeight = Math.max(MIN_PRIORITY_WEIGHT, minimum);
     }
 
     double overloadProbability(long nowUs) {
         return overload.get(nowUs);
     }
 
-    /** Decides on one request by chance. */
+    /** Whether to reject one request: a random draw with the probability of its class. */
     boolean rejects(PendingRequest pending, long nowUs) {
         double probability = overload.get(nowUs);
         if (probability == 0) {
@@ -47,7 +47,7 @@
         overload.record(failure, requestsPerSecond(nowUs), FAILURE_WEIGHT, nowUs);
     }
 
-    /** A write is still in flight at the time of a hedge: this shows a slow origin before time-outs do. */
+    /** Records a write still in flight when its hedge timer fires, which shows a slow origin before timeouts do. */
     void recordSlowWrite(long nowUs) {
         overload.record(true, requestsPerSecond(nowUs), SLOW_WRITE_WEIGHT, nowUs);
     }
--- a/proxy/src/main/java/cacheproxy/routing/OutcomeLearning.java
+++ b/proxy/src/main/java/cacheproxy/routing/OutcomeLearning.java
@@ -1,8 +1,8 @@
 package cacheproxy.routing;
 
 /**
- * Hands the outcome of an attempt to the policies that learn from it, and decides whose fault a failure is: the
- * origin's, the endpoint's or, by overload, the tenant's.
+ * Passes the outcome of an attempt to the policies that adapt to it, and attributes a failure to the origin, to the
+ * endpoint or, as overload, to the tenant.
  */
 final class OutcomeLearning {
     private final RoutingSettings settings;
@@ -33,7 +33,7 @@
         this.retryBudget = retryBudget;
     }
 
-    /** An attempt ended by itself. {@code latencyUs}: the time it took. */
+    /** Records an attempt that was sent and not cancelled. {@code latencyUs}: the time it took. */
     void record(
             PendingRequest pending,
             Endpoint endpoint,
@@ -52,8 +52,8 @@
             origin.recordOutcome(!responded || fetched && missesObjective, nowUs);
         }
         if (!fromOrigin && (responded || !fetched)) {
-            boolean weak = outcome == AttemptOutcome.TIMEOUT || outcome == AttemptOutcome.OK;
-            double weight = weak ? OutlierDetector.WEAK_EVIDENCE_WEIGHT : 1;
+            boolean weakEvidence = outcome == AttemptOutcome.TIMEOUT || outcome == AttemptOutcome.OK;
+            double weight = weakEvidence ? OutlierDetector.WEAK_EVIDENCE_WEIGHT : 1;
             outliers.recordOutcome(endpoint, !responded || missesObjective && !fetched, weight, nowUs);
         }
         if (outcome == AttemptOutcome.OK) {
@@ -87,12 +87,12 @@
         if (!fromOrigin) {
             tenants.recordEndpointOutcome(failure, success);
         }
-        double blame = 1 - Math.max(0, explainedShare(pending, endpoint, fromOrigin || fetched, nowUs));
+        double tenantShare = 1 - Math.max(0, explainedShare(pending, endpoint, fromOrigin || fetched, nowUs));
         outliers.updateMean(endpoint, nowUs);
-        tenants.recordOutcome(pending, failure, success, blame, nowUs);
+        tenants.recordOutcome(pending, failure, success, tenantShare, nowUs);
     }
 
-    /** Whether an outcome shows overload. With cache-aside an endpoint's errors are its own fault. */
+    /** Whether an outcome shows overload. With cache-aside, errors do not: they are attributed to the endpoint. */
     private boolean isTenantFailure(PendingRequest pending, AttemptOutcome outcome, long nowUs) {
         return switch (outcome) {
             case OK, MISS -> nowUs - pending.arrivedUs > pending.requestClass.latencyObjectiveUs;
@@ -104,7 +104,8 @@
 
     /**
      * The share of a failure that is explained by an overloaded origin or by an endpoint that fails more than others,
-     * which is not blamed on the tenant; tenants that exceed their quota more than the mean are blamed all the same.
+     * and is not attributed to the tenant. A tenant that exceeds its quota more than the mean is charged in full for
+     * failures at endpoints.
      */
     private double explainedShare(PendingRequest pending, Endpoint endpoint, boolean byOrigin, long nowUs) {
         if (byOrigin) {
--- a/proxy/src/main/java/cacheproxy/routing/OutlierDetector.java
+++ b/proxy/src/main/java/cacheproxy/routing/OutlierDetector.java
@@ -3,13 +3,13 @@
 /**
  * Avoids cache endpoints that fail more than others. Each endpoint has a {@link FailureProbability}; it is passed over
  * for the keys whose hash falls below that probability. The hash depends on the key and the endpoint alone, so that all
- * proxies move the same keys first, and move them to the same place.
+ * proxies move the same keys first, and move them to the same endpoint.
  */
 final class OutlierDetector {
-    /** A time-out, a late response or a request still in flight says less than an error or a broken connection. */
+    /** A timeout, a late response or an attempt still in flight is weaker evidence than an error or a reset. */
     static final double WEAK_EVIDENCE_WEIGHT = 0.5;
 
-    /** At a quiet proxy a probability has to last for about this many requests to the endpoint. */
+    /** At a proxy with few requests, a probability persists for about this many requests to the endpoint. */
     private static final double REMEMBERED_REQUESTS = 2;
 
     private static final double MAX_TIME_CONSTANT_US = 60e6;
--- a/proxy/src/main/java/cacheproxy/routing/PendingRequest.java
+++ b/proxy/src/main/java/cacheproxy/routing/PendingRequest.java
@@ -27,7 +27,7 @@
     int attempts;
     /** One bit for each attempt in flight. */
     int inFlight;
-    /** One bit for each attempt that is not proven not to have been executed. */
+    /** One bit for each attempt that may have been executed, because its outcome does not rule that out. */
     int mayHaveRun;
 
     final Endpoint[] endpoints = new Endpoint[MAX_ATTEMPTS];
--- a/proxy/src/main/java/cacheproxy/routing/RejectionReason.java
+++ b/proxy/src/main/java/cacheproxy/routing/RejectionReason.java
@@ -1,7 +1,7 @@
 package cacheproxy.routing;
 
 /**
- * Why a request gets no attempt, or no further one, for the trace of requests. Several may be reported for one
+ * Why no attempt, or no further attempt, of a request is sent, for request tracing. Several may be reported for one
  * decision, the first of them being its cause: a retry that the budget does not cover also ends as
  * {@link #NO_ENDPOINT}.
  */
@@ -9,14 +9,15 @@
     /** The tenant's requests are being rejected with some probability. */
     TENANT_THROTTLED,
     /**
-     * None of the best-ranked endpoints of its key may be sent this request now: tried already, warming up, an outlier,
-     * or excluded by {@link RetryPolicy} because an earlier attempt may have been executed.
+     * None of the best-ranked endpoints of its key is eligible now: each is tried already, warming up, an outlier, or
+     * excluded by {@link RetryPolicy} because an earlier attempt may have been executed.
      */
     NO_ENDPOINT,
     /** The retry budget is used up. */
     RETRY_BUDGET_EXHAUSTED,
     /**
-     * The same of a write to the origin: an earlier attempt may have been executed, and no retry is allowed any more.
+     * A write to the origin may not be retried: an earlier attempt may have been executed, and {@link RetryPolicy} no
+     * longer allows a retry.
      */
     NOT_IDEMPOTENT,
     /** The origin is overloaded. */
--- a/proxy/src/main/java/cacheproxy/routing/RequestClass.java
+++ b/proxy/src/main/java/cacheproxy/routing/RequestClass.java
@@ -9,9 +9,9 @@
     public long latencyObjectiveUs;
     /** The latency objective of a request grows by this multiple of its own work, up to the deadline. */
     public double latencyObjectiveStretch;
-    /** The longest that a client of this class waits over all its tries. */
+    /** The longest time that a client of this class waits, over all its retries. */
     public long deadlineUs;
-    /** Requests with an idempotency key: how long endpoints discard repeats, from the first send that may have run. */
+    /** For idempotency keys: how long endpoints discard repeats, from the first attempt that may have run. */
     public long deduplicationWindowUs;
     /** Share of the value that a response after the latency objective still earns, from 0 to 1. */
     public double lateResponseValue;
@@ -20,7 +20,7 @@
 
     public boolean streaming;
 
-    /** Whether a client may try again until its deadline after a rejection: repeats are discarded for that long. */
+    /** Whether a client may safely retry until its deadline: a repeat has no effect, or is discarded for that long. */
     public boolean isDeduplicatedUntilDeadline(RoutingSettings settings) {
         return idempotency != Idempotency.IDEMPOTENCY_KEY
                 || deduplicationWindowUs >= deadlineUs + settings.latestConnectUs();
--- a/proxy/src/main/java/cacheproxy/routing/RequestRouter.java
+++ b/proxy/src/main/java/cacheproxy/routing/RequestRouter.java
@@ -9,9 +9,9 @@
  * only read during the call and may be reused by the caller.
  *
  * <p>Obligations of the caller: exactly one {@link #onOutcome} for each {@link RoutingActions#sendAttempt}; a
- * {@link #onTimer} at or after each requested time, never from within the call that asked for it; an
+ * {@link #onTimer} at or after each requested time, never from within the call that requested it; an
  * {@link #onEndpointList} for each subscription or fetch; {@link #onClientGone} when the client disconnects. The first
- * successful outcome of a request is the client's response, delivered by the caller, who then says so with
+ * successful outcome of a request is the client's response, delivered by the caller, which then reports it with
  * {@code concluded}.
  */
 public interface RequestRouter {
@@ -20,7 +20,7 @@
 
     void onRequest(long nowUs, RoutingRequest request, RoutingActions actions);
 
-    /** {@code concluded}: the client has its response already, from this outcome or before it. */
+    /** {@code concluded}: the client has received its final response, from this attempt or an earlier one. */
     void onOutcome(
             long nowUs,
             long request,
@@ -32,7 +32,7 @@
             LoadReport report,
             RoutingActions actions);
 
-    /** A streamed response has begun; its attempt belongs to the client from here. Only the simulator sends this. */
+    /** A streamed response has begun: the router does no more for the request. Only the simulator sends this. */
     void onStreamStarted(long nowUs, long request, int attempt, RoutingActions actions);
 
     /** The client has disconnected; no response is due any more. */
--- a/proxy/src/main/java/cacheproxy/routing/RetryBudget.java
+++ b/proxy/src/main/java/cacheproxy/routing/RetryBudget.java
@@ -1,16 +1,16 @@
 package cacheproxy.routing;
 
 /**
- * Bounds retries and hedged requests, so that they do not multiply an overload: they are paid from a budget that
- * successful attempts earn. One unit is the price of one retry.
+ * Bounds retries and hedged requests, so that they do not multiply an overload: each spends from a budget that
+ * successful attempts fill. One unit is the price of one retry.
  */
 final class RetryBudget {
     static final double RETRY_PRICE = 1;
-    /** After a broken or refused connection hardly any work was done that a retry would repeat. */
+    /** Lower after a reset or refused connection, because a retry repeats hardly any work. */
     static final double CONNECTION_RETRY_PRICE = 0.25;
     /**
-     * Of any attempt that is started while another is in flight. It may turn out needless, and costs a second cache a
-     * miss.
+     * Price of an attempt that is started while another is in flight. It may prove unnecessary, and it causes a miss at
+     * a second endpoint.
      */
     static final double HEDGE_PRICE = 5;
 
--- a/proxy/src/main/java/cacheproxy/routing/RetryPolicy.java
+++ b/proxy/src/main/java/cacheproxy/routing/RetryPolicy.java
@@ -1,9 +1,9 @@
 package cacheproxy.routing;
 
 /**
- * Whether a request may be sent again without the risk that it is executed twice. A request that may have been executed
- * is sent again if it is idempotent; with an idempotency key, also within the deduplication window of its first such
- * attempt and to endpoints of its deduplication scope; else never.
+ * Whether a request may be retried without the risk that it is executed twice. A request that may have been executed is
+ * retried if it is idempotent; if it has an idempotency key, only within the deduplication window of the first attempt
+ * that may have been executed and only at endpoints of the same deduplication scope; otherwise never.
  */
 final class RetryPolicy {
     private final RoutingSettings settings;
@@ -33,10 +33,10 @@
     }
 
     /**
-     * Until when the client may try the request again without harm, as a rejection promises it. {@code MAX_VALUE}: at
-     * any time; {@code MIN_VALUE}: never.
+     * Until when the client may safely retry the request, which a rejection promises. {@code MAX_VALUE}: at any time;
+     * {@code MIN_VALUE}: never.
      */
-    long clientRetryHarmlessUntilUs(PendingRequest pending) {
+    long clientRetrySafeUntilUs(PendingRequest pending) {
         if (pending.idempotency == Idempotency.IDEMPOTENT || pending.mayHaveRun == 0) {
             return Long.MAX_VALUE;
         }
@@ -47,7 +47,10 @@
         return windowEndUs(pending, pending.firstThatMayHaveRun());
     }
 
-    /** What is sent before may still wait for a connection and arrives while repeats are discarded. */
+    /**
+     * Latest time to send a repeat of an attempt. It is earlier than the end of the deduplication window, because a
+     * repeat may still wait for a connection and must arrive while endpoints discard repeats.
+     */
     private long windowEndUs(PendingRequest pending, int attempt) {
         return pending.sentAtUs[attempt]
                 + pending.requestClass.deduplicationWindowUs
--- a/proxy/src/main/java/cacheproxy/routing/RoutingActions.java
+++ b/proxy/src/main/java/cacheproxy/routing/RoutingActions.java
@@ -1,11 +1,11 @@
 package cacheproxy.routing;
 
-/** What a router asks of the proxy that embeds it. Durations are in microseconds. */
+/** The actions that a router requests from the proxy that embeds it. Durations are in microseconds. */
 public interface RoutingActions {
     /** Addresses all proxies in {@link #sendGossip}. */
     int ALL_PROXIES = 0xffff;
 
-    /** Called right before a final response that no endpoint gave, or in place of a retry; for logs only. */
+    /** Called just before a final response that no endpoint sent, or instead of a retry; for logging only. */
     default void explain(long request, RejectionReason reason) {
         // logging is optional
     }
@@ -13,7 +13,7 @@
     /** Starts the request's next attempt; attempts count from 0. {@code timeoutUs} 0: until the request's deadline. */
     void sendAttempt(long request, int endpoint, long timeoutUs);
 
-    /** Final response: rejected, and trying again is harmless. {@code retryAfterUs} 0: no Retry-After. */
+    /** Final response: rejected, and a retry is safe. {@code retryAfterUs} 0: no Retry-After. */
     void reject(long request, long retryAfterUs);
 
     /** As above, but only if the client is notified before {@code beforeUs}: later, the request has failed. */
@@ -29,7 +29,7 @@
     /** Requests one {@link RequestRouter#onTimer} with this label at or after the delay. */
     void startTimer(long delayUs, long label);
 
-    /** Requests one {@link RequestRouter#onHealthCheck} of this endpoint. {@link FairRouter} asks for none. */
+    /** Requests one {@link RequestRouter#onHealthCheck} of this endpoint. Not used by {@link FairRouter}. */
     void checkHealth(int endpoint);
 
     /** Closes the proxy's idle connections to an endpoint; the next attempt there opens a new one. */
--- a/proxy/src/main/java/cacheproxy/routing/RoutingRequest.java
+++ b/proxy/src/main/java/cacheproxy/routing/RoutingRequest.java
@@ -2,7 +2,7 @@
 
 /** A client's request as it arrives. */
 public final class RoutingRequest {
-    /** Unique for the life of the router, at least 0 and below 2^52. */
+    /** Unique for the lifetime of the router, at least 0 and below 2^52. */
     public long id;
     /** Index into {@link RoutingSettings#requestClasses}. */
     public int requestClass;
@@ -11,8 +11,8 @@
     /** Hash of the cache key; 0: no key. */
     public long key;
     /**
-     * Time at which the final response must be written: the client's wait or its class's deadline, less the time that
-     * the request has waited unread and a few milliseconds of transit.
+     * Time at which the final response must be written: from the deadline that the client states or else that of its
+     * class, less the time for which the request has waited unread and a few milliseconds of transit.
      */
     public long deadlineAtUs;
     /** Expected work in microseconds on a standard core; 0 where unknown. */
--- a/proxy/src/main/java/cacheproxy/routing/RoutingSettings.java
+++ b/proxy/src/main/java/cacheproxy/routing/RoutingSettings.java
@@ -1,11 +1,12 @@
 package cacheproxy.routing;
 
 /**
- * The settings of one router, fixed for its life. Durations are in microseconds. Fields whose names end in
- * {@code Price} or {@code Weight} describe the objective that the deployment is measured by: shares of the total.
+ * The settings of one router, fixed for its lifetime. Durations are in microseconds. Fields whose names end in
+ * {@code Price} or {@code Weight} describe the objective that the deployment is measured by: shares of the total. A
+ * price is the share lost for the amount that its comment states.
  */
 public final class RoutingSettings {
-    /** What a connection that came up late because the proxy itself stood still is allowed beyond its timeout. */
+    /** Added to the connect timeout for connections that opened late because the proxy itself was paused. */
     private static final long LATE_CONNECT_ALLOWANCE_US = 200_000;
 
     /** This proxy's index among {@link #proxyCount}. */
@@ -19,7 +20,7 @@
     public boolean cacheAside;
     /** Cache-aside: the endpoint kind that marks the origin; -1 where there is none. */
     public int originKind = -1;
-    /** True: the endpoint list comes only when subscribed to or fetched. */
+    /** True: the endpoint list is received only after a subscription or a fetch. */
     public boolean subscribeRequired;
 
     public boolean cancellationAllowed;
@@ -50,7 +51,7 @@
     public boolean gossipAllowed;
     /** True: the value of a response counts for each unit of work; false: for each request. */
     public boolean valueByWork;
-    /** Value of a response beyond the tenant's quota, as a share of the value within. */
+    /** Value of a response beyond the tenant's quota, as a share of the value of one within the quota. */
     public double overQuotaValue = 1;
     /** The origin collapses when sent this multiple of its capacity for {@link #originCollapseUs}; 0: never. */
     public double originCollapseMultiple;
@@ -62,32 +63,32 @@
     public double cpuUsPerRequest;
     /** CPU microseconds that a second may take; 0: not limited. */
     public double cpuUsPerSecond;
-    /** All attempts crossing zones. */
+    /** Price if all attempts cross zones. */
     public double crossZonePrice;
-    /** All work of endpoints wasted. */
+    /** Price if all work of endpoints is wasted. */
     public double wastedWorkPrice;
-    /** All value earned after the latency objective. */
+    /** Price if all value is earned after the latency objective. */
     public double lateResponsePrice;
-    /** 100 lines of endpoint lists a request. */
+    /** Price of 100 lines of endpoint lists per request. */
     public double endpointListPrice;
-    /** 100 open connections an endpoint. */
+    /** Price of 100 open connections per endpoint. */
     public double connectionPrice;
-    /** One health check a request. */
+    /** Price of one health check per request. */
     public double healthCheckPrice;
-    /** One gossip message of 256 bytes a request. */
+    /** Price of one gossip message of 256 bytes per request. */
     public double gossipPrice;
-    /** One fetch from the origin a request. */
+    /** Price of one fetch from the origin per request. */
     public double originFetchPrice;
-    /** One new connection a request. */
+    /** Price of one new connection per request. */
     public double handshakePrice;
 
     public double wholeRunWeight = 1;
-    /** The worst 10 seconds. */
+    /** Weight of the worst 10 seconds. */
     public double worstWindowWeight;
 
     public double worstClassWeight;
     public double worstTenantWeight;
-    /** Tail latency, while few requests miss their objective; 0 where it does not count. */
+    /** Weight of the tail latency, while few requests miss their objective; 0 where it does not count. */
     public double tailLatencyWeight;
     /** Share of requests that may miss the latency objective; those rejected within it do not count. */
     public double allowedMissShare = 1;
@@ -97,7 +98,7 @@
     public double slowStartInitialCapacity = 1;
     /** Time in which an endpoint warms up to its full capacity. */
     public long slowStartUs;
-    /** How long an endpoint that drains completes what arrives. */
+    /** How long a draining endpoint still completes requests that arrive. */
     public long drainGraceUs;
     /** An endpoint collapses when sent this multiple of its capacity for {@link #collapseUs}; 0: never. */
     public double collapseMultiple;
@@ -111,9 +112,9 @@
 
     /**
      * Time after which a connection that opened late is not used any more. It exceeds
-     * {@link #effectiveConnectTimeoutUs} a little, because a pause of the proxy itself is no fault of the endpoint's;
-     * not by much, because the endpoint may have begun to drain and deduplication windows are shortened by this time.
-     * 0: not limited.
+     * {@link #effectiveConnectTimeoutUs} by a little, because a pause of the proxy itself is not the endpoint's fault,
+     * and not by more, because the endpoint may have begun to drain and because deduplication windows are shortened by
+     * this time. 0: not limited.
      */
     public long latestConnectUs() {
         long timeoutUs = effectiveConnectTimeoutUs();
@@ -121,13 +122,14 @@
         return drainGraceUs > 0 ? Math.max(timeoutUs, Math.min(latestUs, drainGraceUs / 2)) : latestUs;
     }
 
-    /** Throws {@link IllegalArgumentException} that names the first setting no router could work with. */
+    /** Throws {@link IllegalArgumentException} that names the first setting that is invalid. */
     public void check() {
         reject(requestClasses.length == 0, "requestClasses (grades) is empty: at least one request class is needed");
-        for (RequestClass c : requestClasses) {
+        for (RequestClass requestClass : requestClasses) {
             reject(
-                    c.latencyObjectiveUs <= 0,
-                    "class '" + c.name + "' needs a latency objective above 0, not " + c.latencyObjectiveUs);
+                    requestClass.latencyObjectiveUs <= 0,
+                    "class '" + requestClass.name + "' needs a latency objective above 0, not "
+                            + requestClass.latencyObjectiveUs);
         }
         reject(proxyCount < 1, "proxyCount (balancers) must be at least 1, not " + proxyCount);
         reject(maxAttempts < 1, "maxAttempts (caps.maxAttempts) must be at least 1, not " + maxAttempts);
--- a/proxy/src/main/java/cacheproxy/routing/SettingsText.java
+++ b/proxy/src/main/java/cacheproxy/routing/SettingsText.java
@@ -16,11 +16,11 @@
 
     public SettingsText(String text) {
         for (String line : text.split("\n")) {
-            int eq = line.indexOf('=');
-            if (eq > 0) {
-                values.put(line.substring(0, eq), line.substring(eq + 1).strip());
+            int separatorIndex = line.indexOf('=');
+            if (separatorIndex > 0) {
+                values.put(line.substring(0, separatorIndex), line.substring(separatorIndex + 1).strip());
             } else if (!line.isBlank()) {
-                throw new InvalidInputException("settings line without '=': " + shown(line));
+                throw new InvalidInputException("settings line without '=': " + printable(line));
             }
         }
     }
@@ -58,17 +58,17 @@
             settings.tenants[i] = tenant;
         }
         settings.cacheAside =
-                word("familyInfo.mode", "through", "through", "aside").equals("aside");
+                choice("familyInfo.mode", "through", "through", "aside").equals("aside");
         settings.originKind = integer("familyInfo.originKind", -1, -1);
         settings.subscribeRequired =
-                word("registryMode", "automatic", "automatic", "subscribe").equals("subscribe");
-        settings.weightSource = switch (word("weights", "nominal", "off", "nominal", "rough", "live")) {
+                choice("registryMode", "automatic", "automatic", "subscribe").equals("subscribe");
+        settings.weightSource = switch (choice("weights", "nominal", "off", "nominal", "rough", "live")) {
             case "off" -> EndpointWeightSource.NONE;
             case "rough" -> EndpointWeightSource.ROUGH;
             case "live" -> EndpointWeightSource.LIVE;
             default -> EndpointWeightSource.NOMINAL;
         };
-        settings.loadReportSource = switch (word("reporting.source", "off", "off", "inline", "on_probe")) {
+        settings.loadReportSource = switch (choice("reporting.source", "off", "off", "inline", "on_probe")) {
             case "inline" -> LoadReportSource.RESPONSES;
             case "on_probe" -> LoadReportSource.HEALTH_CHECKS;
             default -> LoadReportSource.NONE;
@@ -81,7 +81,7 @@
         settings.healthChecksAllowed = flag("caps.probing");
         settings.hedgingAllowed = flag("caps.secondCopies");
         settings.retryAfterAllowed = flag("caps.retryAfter");
-        settings.maxRetryAfterUs = micros("caps.maxRetryAfterMs", 0);
+        settings.maxRetryAfterUs = microseconds("caps.maxRetryAfterMs", 0);
         settings.maxAttempts = integer("caps.maxAttempts", 1, 1);
         settings.maxOpenRequests = integer("caps.openCap", Integer.MAX_VALUE, 1);
         settings.streamsPerConnection = integer("caps.multiplex", 1, 1);
@@ -91,25 +91,25 @@
     }
 
     private void readTimes(RoutingSettings settings) {
-        settings.timerGranularityUs = micros("tickMs", 0);
-        settings.idleTimeoutUs = micros("caps.idleCloseMs", 5_000);
-        settings.connectTimeoutUs = micros("caps.dialTimeoutMs", 0);
-        settings.subscribeWithinUs = micros("rules.askWithinMs", 10_000);
-        settings.drainGraceUs = micros("rules.drainGraceMs", 0);
-        settings.responseGraceUs = micros("rules.graceToAnswerMs", 0);
+        settings.timerGranularityUs = microseconds("tickMs", 0);
+        settings.idleTimeoutUs = microseconds("caps.idleCloseMs", 5_000);
+        settings.connectTimeoutUs = microseconds("caps.dialTimeoutMs", 0);
+        settings.subscribeWithinUs = microseconds("rules.askWithinMs", 10_000);
+        settings.drainGraceUs = microseconds("rules.drainGraceMs", 0);
+        settings.responseGraceUs = microseconds("rules.graceToAnswerMs", 0);
     }
 
     private void readOverload(RoutingSettings settings) {
         settings.slowStartInitialCapacity = number("rules.coldFrom", 1, 0);
-        settings.slowStartUs = micros("rules.coldMs", 0);
+        settings.slowStartUs = microseconds("rules.coldMs", 0);
         settings.collapseMultiple = number("rules.tipMultiple", 0, 0);
-        settings.collapseUs = micros("rules.fallMs", 0);
+        settings.collapseUs = microseconds("rules.fallMs", 0);
         settings.originCollapseMultiple = number("familyInfo.originFallMultiple", 0, 0);
-        settings.originCollapseUs = micros("familyInfo.originFallMs", 0);
+        settings.originCollapseUs = microseconds("familyInfo.originFallMs", 0);
     }
 
     private void readObjective(RoutingSettings settings) {
-        settings.valueByWork = word("countedBy", "request", "request", "work").equals("work");
+        settings.valueByWork = choice("countedBy", "request", "request", "work").equals("work");
         settings.overQuotaValue = number("overShareWorth", 1, 0);
         settings.crossZonePrice = number("deductions.crossZone", 0, 0);
         settings.wastedWorkPrice = number("deductions.waste", 0, 0);
@@ -151,72 +151,73 @@
     private RequestClass requestClass(String path) {
         RequestClass result = new RequestClass();
         result.name = values.getOrDefault(path + "name", "");
-        result.idempotency = switch (word(path + "effect", "side_effect", "pure", "token", "side_effect")) {
+        result.idempotency = switch (choice(path + "effect", "side_effect", "pure", "token", "side_effect")) {
             case "pure" -> Idempotency.IDEMPOTENT;
             case "token" -> Idempotency.IDEMPOTENCY_KEY;
             default -> Idempotency.NOT_IDEMPOTENT;
         };
-        String group = word(path + "group", "all", "all", "zone", "cell");
+        String group = choice(path + "group", "all", "all", "zone", "cell");
         result.deduplicationScope = DeduplicationScope.valueOf(group.toUpperCase(Locale.ROOT));
-        result.latencyObjectiveUs = micros(path + "targetMs", 0);
+        result.latencyObjectiveUs = microseconds(path + "targetMs", 0);
         result.latencyObjectiveStretch = number(path + "aimStretch", 0, 0);
-        result.deadlineUs = micros(path + "deadlineMs", 0);
-        result.deduplicationWindowUs = micros(path + "repeatWindowMs", 0);
+        result.deadlineUs = microseconds(path + "deadlineMs", 0);
+        result.deduplicationWindowUs = microseconds(path + "repeatWindowMs", 0);
         result.lateResponseValue = number(path + "lateWorth", 0, 0);
         result.priorityWeight = number(path + "value", 1, 0);
         result.streaming = flag(path + "stream");
         return result;
     }
 
-    private static String shown(String value) {
+    private static String printable(String value) {
         String line = value.replaceAll("\\p{Cntrl}", "?");
         return line.length() <= 60 ? line : line.substring(0, 60) + "...";
     }
 
-    private InvalidInputException bad(String path, String wanted) {
-        return new InvalidInputException("setting " + path + " is not " + wanted + ": " + shown(values.get(path)));
+    private InvalidInputException invalidValue(String path, String expected) {
+        return new InvalidInputException(
+                "setting " + path + " is not " + expected + ": " + printable(values.get(path)));
     }
 
-    private double number(String path, double fallback, double least) {
+    private double number(String path, double defaultValue, double minimum) {
         String text = values.get(path);
         if (text == null || text.isEmpty()) {
-            return fallback;
+            return defaultValue;
         }
         try {
-            double v = Double.parseDouble(text);
-            if (v >= least && v < 1e12) {
-                return v;
+            double parsed = Double.parseDouble(text);
+            if (parsed >= minimum && parsed < 1e12) {
+                return parsed;
             }
         } catch (NumberFormatException e) {
             // reported below
         }
-        throw bad(path, "a number of at least " + least);
+        throw invalidValue(path, "a number of at least " + minimum);
     }
 
-    private int integer(String path, int fallback, int least) {
-        double v = number(path, fallback, least);
+    private int integer(String path, int defaultValue, int minimum) {
+        double parsed = number(path, defaultValue, minimum);
         boolean count = path.endsWith(".count");
-        if (v != Math.rint(v) || count && v > MAX_ITEMS) {
-            throw bad(path, "a whole number" + (count ? " up to " + MAX_ITEMS : ""));
+        if (parsed != Math.rint(parsed) || count && parsed > MAX_ITEMS) {
+            throw invalidValue(path, "a whole number" + (count ? " up to " + MAX_ITEMS : ""));
         }
-        return (int) Math.min(v, Integer.MAX_VALUE);
+        return (int) Math.min(parsed, Integer.MAX_VALUE);
     }
 
-    private long micros(String path, double fallbackMs) {
-        return Math.round(number(path, fallbackMs, 0) * 1000);
+    private long microseconds(String path, double defaultMs) {
+        return Math.round(number(path, defaultMs, 0) * 1000);
     }
 
     private boolean flag(String path) {
-        return word(path, "false", "true", "false").equals("true");
+        return choice(path, "false", "true", "false").equals("true");
     }
 
-    private String word(String path, String fallback, String... allowed) {
-        String text = values.getOrDefault(path, fallback);
-        for (String word : allowed) {
-            if (word.equals(text)) {
-                return word;
+    private String choice(String path, String defaultValue, String... allowed) {
+        String text = values.getOrDefault(path, defaultValue);
+        for (String choice : allowed) {
+            if (choice.equals(text)) {
+                return choice;
             }
         }
-        throw bad(path, "one of " + String.join(", ", allowed));
+        throw invalidValue(path, "one of " + String.join(", ", allowed));
     }
 }
--- a/proxy/src/main/java/cacheproxy/routing/StochasticFairBlue.java
+++ b/proxy/src/main/java/cacheproxy/routing/StochasticFairBlue.java
@@ -8,10 +8,10 @@
  * collide on one level only do not share a value. Values decay exponentially. Times are in microseconds.
  */
 final class StochasticFairBlue {
-    /** No probability exceeds this, so that an occasional trial notices a recovery. */
+    /** Upper bound of a probability, so that a few requests are still sent and detect a recovery. */
     static final double MAX_PROBABILITY = 0.98;
 
-    /** Each level uses hash bits of its own; derived bits would make collisions on all levels likely. */
+    /** Each level uses its own hash bits; deriving them from another level's would make common collisions likely. */
     private static final int HASH_BITS_PER_LEVEL = 20;
 
     private final int levels;
@@ -38,13 +38,13 @@
     /** The least value among the id's buckets. */
     double min(long id, long nowUs) {
         long hash = SplitMix64.mix(id ^ seed);
-        double least = Double.MAX_VALUE;
-        for (int level = 0; level < levels && least > 0; level++) {
+        double minimum = Double.MAX_VALUE;
+        for (int level = 0; level < levels && minimum > 0; level++) {
             int bucket = bucket(hash, level);
             double value = DecayingCounter.decayed(values[bucket], updatedUs[bucket], nowUs, timeConstantUs);
-            least = Math.min(least, value);
+            minimum = Math.min(minimum, value);
         }
-        return least;
+        return minimum;
     }
 
     /** Adds a step, up or down, to the id's bucket of each level, within 0 and {@code max}. */
--- a/proxy/src/main/java/cacheproxy/routing/TenantAdmission.java
+++ b/proxy/src/main/java/cacheproxy/routing/TenantAdmission.java
@@ -4,11 +4,12 @@
  * Admits or rejects requests by tenant: stochastic fair BLUE after "FAIR: Allocating Resources Fairly at Scale" (M.
  * Sathe). A request is rejected with its tenant's probability, the minimum over the levels of a hashed table. Failures
  * raise the probability, successes lower it, and it decays so that a rejected tenant is tried again within seconds. A
- * second table learns along and replaces the first from time to time with fresh hash seeds, so that tenants which
- * collide do not do so for long.
+ * standby table records the same outcomes with another hash seed and periodically replaces the active one, so that
+ * tenants whose buckets collide do not share them for long.
  *
- * <p>Departures from FAIR: steps follow the tenant's request rate; a failure counts by how far the tenant exceeds its
- * quota compared with the mean request here; decay slows down while failures go on without one success.
+ * <p>Differences from FAIR: steps depend on the tenant's request rate; a failure is weighted by how far the tenant
+ * exceeds its quota, compared with the mean request at this proxy; decay slows down while failures continue without a
+ * success.
  *
  * <p>A step is the change of the probability (0 to 1) by one outcome; a bucket is saturated at its maximum.
  */
@@ -18,7 +19,7 @@
 
     private static final int BUCKETS_PER_LEVEL = 64;
     private static final double TIME_CONSTANT_US = 3e6;
-    /** Several time constants, so that the standby table has learnt what the active one knows. */
+    /** Several time constants, so that the standby table holds what the active one does when it replaces it. */
     private static final long ROTATION_PERIOD_US = 60_000_000;
 
     private static final double MIN_STEP = 0.002;
@@ -26,28 +27,34 @@
     private static final double MAX_STEP = 0.2;
     /** A success lowers the probability by this fraction of a step. */
     private static final double SUCCESS_STEP_FRACTION = 0.01;
-    /** Seconds of a tenant's own failures that saturate a bucket, for a class whose late responses keep all value. */
+    /** Seconds of a tenant's failures that saturate a bucket, if late responses of the class keep their full value. */
     private static final double SECONDS_TO_SATURATION = 5;
 
     private static final double MIN_SECONDS_TO_SATURATION = 0.16;
-    /** Step multiple below the probability that brings a tenant down to its quota, where the excess has no value. */
+    /**
+     * Multiple of a step while the probability is below the one that brings the tenant down to its quota, if responses
+     * beyond the quota have no value.
+     */
     private static final double OVER_QUOTA_STEP_MULTIPLE = 10;
-    /** A request that waits for less than this share of the latency objective cannot be served: not demand. */
+    /** A deadline sooner than this share of the latency objective cannot be met: the request is not demand. */
     private static final double UNMEETABLE_DEADLINE_SHARE = 0.2;
-    /** Client retries that a rejected or failed request lets expect. Below 1: not every client retries. */
+    /** Client retries expected after a rejected or failed request. Below 1, because not every client retries. */
     private static final double EXPECTED_RETRIES_PER_REJECTION = 0.8;
 
     private static final double MAX_EXPECTED_RETRIES = 1e6;
-    /** Requests of uncertainty on either side of a quota comparison. */
+    /** Uncertainty of the demand and of the quota when they are compared, in requests. */
     private static final double QUOTA_UNCERTAINTY_REQUESTS = 3;
 
     private static final double MAX_QUOTA_WEIGHT = 4;
     private static final double MEAN_LEARNING_RATE = 1.0 / 64;
-    /** Consecutive failures that count as proof of a saturated tier. */
+    /** Consecutive failures that prove the cache endpoints saturated. */
     private static final double FAILURES_PROVING_OVERLOAD = 3;
 
     private static final double MAX_OVERLOAD_CERTAINTY = 4;
-    /** Most that decay slows down: the trials of many proxies keep a saturated tier from recovering. */
+    /**
+     * Largest factor by which decay slows down, which it does because requests that many proxies admit on trial keep
+     * saturated endpoints from recovering.
+     */
     private static final double MAX_DECAY_SLOWDOWN = 8;
 
     private final RoutingSettings settings;
@@ -56,7 +63,7 @@
     private StochasticFairBlue active;
     private StochasticFairBlue standby;
     private long rotateAtUs;
-    /** Requests by tenant, less unmeetable ones and expected retries. */
+    /** Requests by tenant, without expected retries and requests whose deadline cannot be met. */
     private final DecayingCounter[] demand;
 
     private final DecayingCounter[] expectedRetries;
@@ -94,7 +101,7 @@
             rotate(nowUs);
         }
         admittedRate.recordArrival(nowUs);
-        boolean expectedRetry = takeExpectedRetry(request, tenant, nowUs);
+        boolean expectedRetry = consumeExpectedRetry(request, tenant, nowUs);
         boolean meetable = request.deadlineAtUs - nowUs >= UNMEETABLE_DEADLINE_SHARE * requestClass.latencyObjectiveUs;
         if (!expectedRetry && meetable) {
             demand[tenant].increment(nowUs);
@@ -111,10 +118,11 @@
     }
 
     /**
-     * Whether a request is a client's retry of one that was rejected here, which is not additional demand. A retry mark
-     * is believed only as often as the tenant was rejected, or a tenant could hide its demand behind it.
+     * Whether a request is a client's retry of one that was rejected here, which is not additional demand. Marked
+     * retries are accepted only up to the number expected after rejections; otherwise a tenant could hide its demand by
+     * marking every request.
      */
-    private boolean takeExpectedRetry(RoutingRequest request, int tenant, long nowUs) {
+    private boolean consumeExpectedRetry(RoutingRequest request, int tenant, long nowUs) {
         if (!request.clientRetry || expectedRetries[tenant].get(nowUs) < 1) {
             return false;
         }
@@ -127,7 +135,7 @@
         return active.min(tenant, nowUs);
     }
 
-    /** Decides on one request by chance. */
+    /** Whether to reject one request: a random draw with {@link #rejectionProbability}. */
     boolean rejects(int tenant, long nowUs) {
         double probability = rejectionProbability(tenant, nowUs);
         return probability > 0 && random.nextDouble() < probability;
@@ -138,7 +146,7 @@
         admittedRate.recordAdmitted(nowUs);
     }
 
-    /** A request ended without a response that its client can use: the client may try again. */
+    /** Records that a request ended without a response that its client can use: the client may retry. */
     void expectClientRetry(int tenant, long nowUs) {
         expectedRetries[tenant].add(EXPECTED_RETRIES_PER_REJECTION, MAX_EXPECTED_RETRIES, nowUs);
     }
@@ -165,17 +173,17 @@
     }
 
     /**
-     * Applies one outcome to both tables; a request counts as one failure at most. {@code blame}: share of the failure
-     * that is not explained by a faulty endpoint or origin.
+     * Applies one outcome to both tables; a request counts as one failure at most. {@code tenantShare}: share of the
+     * failure that is not explained by a faulty endpoint or origin.
      */
-    void recordOutcome(PendingRequest pending, boolean failure, boolean success, double blame, long nowUs) {
+    void recordOutcome(PendingRequest pending, boolean failure, boolean success, double tenantShare, long nowUs) {
         if (failure ? pending.failureRecorded : !success) {
             return;
         }
         pending.failureRecorded |= failure;
         double step = step(pending, nowUs);
         if (failure) {
-            step = failureStep(pending.tenant, step, blame, nowUs);
+            step = failureStep(pending.tenant, step, tenantShare, nowUs);
         } else {
             step *= -SUCCESS_STEP_FRACTION;
         }
@@ -183,7 +191,7 @@
         standby.add(pending.tenant, step, StochasticFairBlue.MAX_PROBABILITY, nowUs);
     }
 
-    /** Steps are inversely proportional to the rate: a fixed step would outrun the decay at a busy proxy. */
+    /** Inversely proportional to the rate: fixed steps would add up faster than they decay at a busy proxy. */
     private double step(PendingRequest pending, long nowUs) {
         double requestsPerSecond = admittedRate.perSecond(admitted[pending.tenant], nowUs);
         double seconds =
@@ -191,17 +199,17 @@
         return Math.max(MIN_STEP, Math.min(MAX_STEP, 1 / (requestsPerSecond * seconds + 1e-9)));
     }
 
-    private double failureStep(int tenant, double step, double blame, long nowUs) {
-        double toQuota = excessShare(tenant, nowUs) - active.min(tenant, nowUs);
+    private double failureStep(int tenant, double step, double tenantShare, long nowUs) {
+        double stepToQuota = excessShare(tenant, nowUs) - active.min(tenant, nowUs);
         double quotaWeight = quotaWeight(tenant, nowUs);
-        double blamed = step * blame;
+        double tenantStep = step * tenantShare;
         double multiple = 1 + (OVER_QUOTA_STEP_MULTIPLE - 1) * (1 - settings.overQuotaValue);
-        return Math.max(blamed * quotaWeight, Math.min(blamed * multiple, toQuota));
+        return Math.max(tenantStep * quotaWeight, Math.min(tenantStep * multiple, stepToQuota));
     }
 
     /**
-     * Overload fails requests of every tenant: a failure counts by the square of how far its tenant exceeds its quota
-     * compared with the mean request, so that tenants over their quota are rejected first.
+     * Weight of a failure. Overload makes requests of every tenant fail; the weight grows with the square of how far a
+     * tenant exceeds its quota, compared with the mean request, so that tenants over their quota are rejected first.
      */
     private double quotaWeight(int tenant, long nowUs) {
         double ratio = quotaRatio(tenant, nowUs) / Math.max(1e-3, meanQuotaRatio);
--- a/proxy/src/main/java/cacheproxy/routing/TenantQuota.java
+++ b/proxy/src/main/java/cacheproxy/routing/TenantQuota.java
@@ -5,6 +5,6 @@
     public String name = "";
     /** Requests a second, over all proxies, within the quota; 0 where none is set. */
     public double requestsPerSecond;
-    /** Share of the capacity that the quota stands for. */
+    /** The quota as a share of the capacity. */
     public double share;
 }
--- a/proxy/src/test/java/cacheproxy/routing/BoundaryConditionsTest.java
+++ b/proxy/src/test/java/cacheproxy/routing/BoundaryConditionsTest.java
@@ -7,258 +7,286 @@
 import java.util.Set;
 import org.junit.jupiter.api.Test;
 
-/** Single conditions of the decisions that no other test covers. */
+/** Conditions of the routing decisions that no other test covers. */
 class BoundaryConditionsTest {
     private static final long MS = Fixture.MS;
     private static final long S = Fixture.S;
 
-    private static void ended(Fixture f, FairRouter router, long now, long id, int attempt, AttemptOutcome o) {
-        ended(f, router, now, id, attempt, o, CacheResult.NONE);
+    private static void endAttempt(
+            Fixture fixture, FairRouter router, long nowUs, long id, int attempt, AttemptOutcome outcome) {
+        endAttempt(fixture, router, nowUs, id, attempt, outcome, CacheResult.NONE);
     }
 
-    private static void ended(
-            Fixture f, FairRouter router, long now, long id, int attempt, AttemptOutcome o, CacheResult note) {
-        router.onOutcome(now, id, attempt, o, MS, o == AttemptOutcome.OK, note, new LoadReport(), f);
+    private static void endAttempt(
+            Fixture fixture,
+            FairRouter router,
+            long nowUs,
+            long id,
+            int attempt,
+            AttemptOutcome outcome,
+            CacheResult cacheResult) {
+        router.onOutcome(
+                nowUs, id, attempt, outcome, MS, outcome == AttemptOutcome.OK, cacheResult, new LoadReport(), fixture);
     }
 
     @Test
-    void anIdleProxySelectsTheFirstRankedEndpoint() {
-        RoutingSettings s = Fixture.settings(Idempotency.IDEMPOTENT);
-        EndpointTable fleet = new EndpointTable(s);
-        fleet.apply(0, EndpointListKind.FULL, Fixture.nodes(8), 8);
+    void selectsFirstRankedEndpointWhenIdle() {
+        RoutingSettings settings = Fixture.settings(Idempotency.IDEMPOTENT);
+        EndpointTable endpointTable = new EndpointTable(settings);
+        endpointTable.apply(0, EndpointListKind.FULL, Fixture.endpoints(8), 8);
         for (long key = 1; key <= 50; key++) {
-            Fixture f = new Fixture();
-            f.router(s, 1, Fixture.nodes(8)).onRequest(0, Fixture.request(1, SplitMix64.mix(key), S), f);
-            assertEquals(fleet.rank(SplitMix64.mix(key), 6)[0].id, f.lastEndpoint());
+            Fixture fixture = new Fixture();
+            fixture.router(settings, 1, Fixture.endpoints(8))
+                    .onRequest(0, Fixture.request(1, SplitMix64.mix(key), S), fixture);
+            assertEquals(endpointTable.rank(SplitMix64.mix(key), 6)[0].id, fixture.lastEndpoint());
         }
     }
 
-    /** A key that is requested from all endpoints is cached by all of them. */
+    /** Otherwise the key would be cached at all endpoints. */
     @Test
-    void anUnpopularKeyStaysAtTwoEndpoints() {
-        Fixture f = new Fixture();
-        FairRouter router = f.router(Fixture.settings(Idempotency.IDEMPOTENT), 1, Fixture.nodes(8));
-        Set<Integer> met = new HashSet<>();
+    void sendsUnpopularKeyToTwoEndpointsOnly() {
+        Fixture fixture = new Fixture();
+        FairRouter router = fixture.router(Fixture.settings(Idempotency.IDEMPOTENT), 1, Fixture.endpoints(8));
+        Set<Integer> selectedEndpoints = new HashSet<>();
         for (int i = 0; i < 6; i++) {
-            router.onRequest(i * 60 * S, Fixture.request(i, 42, 3600 * S), f);
-            met.add(f.lastEndpoint());
+            router.onRequest(i * 60 * S, Fixture.request(i, 42, 3600 * S), fixture);
+            selectedEndpoints.add(fixture.lastEndpoint());
         }
-        assertEquals(2, met.size(), met.toString());
+        assertEquals(2, selectedEndpoints.size(), selectedEndpoints.toString());
     }
 
-    /** Rejected of 200 requests, after 100 that ended with this outcome, {@code latency} after their arrival. */
-    private static int refused(boolean aside, AttemptOutcome o, long latency) {
-        RoutingSettings s = Fixture.settings(Idempotency.IDEMPOTENT);
-        s.cacheAside = aside;
-        s.originKind = aside ? 9 : -1;
-        s.maxAttempts = 1;
-        int refused = 0;
+    /** Rejected of 200 requests, after 100 that ended with this outcome, {@code latencyUs} after their arrival. */
+    private static int rejectedCount(boolean cacheAside, AttemptOutcome outcome, long latencyUs) {
+        RoutingSettings settings = Fixture.settings(Idempotency.IDEMPOTENT);
+        settings.cacheAside = cacheAside;
+        settings.originKind = cacheAside ? 9 : -1;
+        settings.maxAttempts = 1;
+        int rejectedCount = 0;
         for (int seed = 1; seed <= 5; seed++) {
-            Fixture f = new Fixture();
-            FairRouter router = f.router(s, seed, Fixture.nodes(8));
+            Fixture fixture = new Fixture();
+            FairRouter router = fixture.router(settings, seed, Fixture.endpoints(8));
             for (int i = 0; i < 100; i++) {
-                long now = i * 20 * MS;
-                int before = f.sent.size();
-                router.onRequest(now, Fixture.request(i, SplitMix64.mix(i), now + S), f);
-                if (f.sent.size() > before) {
+                long nowUs = i * 20 * MS;
+                int countBefore = fixture.sent.size();
+                router.onRequest(nowUs, Fixture.request(i, SplitMix64.mix(i), nowUs + S), fixture);
+                if (fixture.sent.size() > countBefore) {
                     router.onOutcome(
-                            now + latency,
+                            nowUs + latencyUs,
                             i,
                             0,
-                            o,
-                            latency,
-                            o == AttemptOutcome.OK,
+                            outcome,
+                            latencyUs,
+                            outcome == AttemptOutcome.OK,
                             CacheResult.NONE,
                             new LoadReport(),
-                            f);
+                            fixture);
                 }
             }
-            int before = f.rejected.size();
+            int countBefore = fixture.rejected.size();
             for (int i = 200; i < 400; i++) {
-                router.onRequest(3 * S, Fixture.request(i, SplitMix64.mix(i), 4 * S), f);
+                router.onRequest(3 * S, Fixture.request(i, SplitMix64.mix(i), 4 * S), fixture);
             }
-            refused += f.rejected.size() - before;
+            rejectedCount += fixture.rejected.size() - countBefore;
         }
-        return refused;
+        return rejectedCount;
     }
 
-    /** Responses after their objective show overload: fewer requests are admitted. */
+    /** Responses later than the latency objective show overload. */
     @Test
-    void aTenantWithLateResponsesIsRejected() {
-        assertEquals(0, refused(false, AttemptOutcome.OK, 299 * MS));
-        int late = refused(false, AttemptOutcome.OK, 301 * MS);
-        assertTrue(late > 200, late + " of 1000");
+    void rejectsTenantWhoseResponsesAreLate() {
+        assertEquals(0, rejectedCount(false, AttemptOutcome.OK, 299 * MS));
+        int rejectedAfterLateResponses = rejectedCount(false, AttemptOutcome.OK, 301 * MS);
+        assertTrue(rejectedAfterLateResponses > 200, rejectedAfterLateResponses + " of 1000");
     }
 
-    /** With cache-aside an endpoint's errors are its own fault; without, they may show overload. */
+    /** With cache-aside, errors are attributed to the endpoint; without, they may show overload. */
     @Test
-    void errorsCountAgainstATenantOnlyWithoutCacheAside() {
-        int through = refused(false, AttemptOutcome.ERROR, MS);
-        int aside = refused(true, AttemptOutcome.ERROR, MS);
-        assertTrue(through > 2 * aside + 100, through + " through, " + aside + " aside");
+    void errorsCountAgainstTheTenantOnlyWithoutCacheAside() {
+        int rejectedWithoutCacheAside = rejectedCount(false, AttemptOutcome.ERROR, MS);
+        int rejectedWithCacheAside = rejectedCount(true, AttemptOutcome.ERROR, MS);
+        assertTrue(
+                rejectedWithoutCacheAside > 2 * rejectedWithCacheAside + 100,
+                rejectedWithoutCacheAside + " without cache-aside, " + rejectedWithCacheAside + " with it");
     }
 
-    /** Requests sent to a warming endpoint, of those whose first candidate it is, without quotas. */
-    private static int toCold(boolean served) {
-        RoutingSettings s = Fixture.settings(Idempotency.IDEMPOTENT);
-        s.slowStartUs = 24 * S;
-        s.slowStartInitialCapacity = 0.9;
-        s.collapseMultiple = 4;
-        s.collapseUs = 2 * S;
-        EndpointInfo[] nodes = Fixture.nodes(2);
-        Fixture f = new Fixture();
-        FairRouter router = f.router(s, 1, nodes);
+    /** Requests sent to a warming endpoint without quotas, after 20 s of requests that were served or cancelled. */
+    private static int sentToWarming(boolean served) {
+        RoutingSettings settings = Fixture.settings(Idempotency.IDEMPOTENT);
+        settings.slowStartUs = 24 * S;
+        settings.slowStartInitialCapacity = 0.9;
+        settings.collapseMultiple = 4;
+        settings.collapseUs = 2 * S;
+        EndpointInfo[] endpoints = Fixture.endpoints(2);
+        Fixture fixture = new Fixture();
+        FairRouter router = fixture.router(settings, 1, endpoints);
         for (int i = 0; i < 2000; i++) {
-            long now = i * 10 * MS;
-            router.onRequest(now, Fixture.request(i, SplitMix64.mix(i), now + S), f);
+            long nowUs = i * 10 * MS;
+            router.onRequest(nowUs, Fixture.request(i, SplitMix64.mix(i), nowUs + S), fixture);
             if (!served) {
-                router.onClientGone(now, i, f);
+                router.onClientGone(nowUs, i, fixture);
             }
-            ended(f, router, now, i, 0, served ? AttemptOutcome.OK : AttemptOutcome.CANCELLED);
+            endAttempt(fixture, router, nowUs, i, 0, served ? AttemptOutcome.OK : AttemptOutcome.CANCELLED);
         }
-        nodes[0].startedUs = 20 * S;
-        router.onEndpointList(20 * S, EndpointListKind.FULL, nodes, 2, f);
-        int cold = 0;
+        endpoints[0].startedUs = 20 * S;
+        router.onEndpointList(20 * S, EndpointListKind.FULL, endpoints, 2, fixture);
+        int sentToWarming = 0;
         for (int i = 2000; i < 2400; i++) {
-            long now = 20 * S + (i - 2000) * 10 * MS;
-            int before = f.sent.size();
-            router.onRequest(now, Fixture.request(i, SplitMix64.mix(i), now + S), f);
-            if (f.sent.size() > before) {
-                cold += f.lastEndpoint() == 1 ? 1 : 0;
-                ended(f, router, now, i, 0, AttemptOutcome.OK);
+            long nowUs = 20 * S + (i - 2000) * 10 * MS;
+            int countBefore = fixture.sent.size();
+            router.onRequest(nowUs, Fixture.request(i, SplitMix64.mix(i), nowUs + S), fixture);
+            if (fixture.sent.size() > countBefore) {
+                sentToWarming += fixture.lastEndpoint() == 1 ? 1 : 0;
+                endAttempt(fixture, router, nowUs, i, 0, AttemptOutcome.OK);
             }
         }
-        return cold;
+        return sentToWarming;
     }
 
     /** Without quotas the capacity is estimated from the requests that were served. */
     @Test
-    void withoutQuotasServedRequestsLimitAWarmingEndpoint() {
-        int quiet = toCold(false);
-        int used = toCold(true);
-        assertTrue(used > 1.5 * quiet, used + " after 20 s of 100 a second, " + quiet + " after none");
+    void limitsWarmingEndpointByServedRequestsWithoutQuotas() {
+        int sentAfterNoneServed = sentToWarming(false);
+        int sentAfterServedRequests = sentToWarming(true);
+        assertTrue(
+                sentAfterServedRequests > 1.5 * sentAfterNoneServed,
+                sentAfterServedRequests + " after 20 s at 100 served a second, " + sentAfterNoneServed + " after none");
     }
 
-    /** Of 100 requests with two of four endpoints as candidates, those sent to the first, which fails sometimes. */
-    private static int there(AttemptOutcome o, CacheResult note) {
-        int there = 0;
+    /** Attempts at the first of four endpoints, which fails half of its requests with this outcome. */
+    private static int sentToFailingEndpoint(AttemptOutcome outcome, CacheResult cacheResult) {
+        int sentToFailingEndpoint = 0;
         for (int seed = 1; seed <= 10; seed++) {
-            Fixture f = new Fixture();
-            RoutingSettings s = Fixture.settings(Idempotency.IDEMPOTENT);
-            s.hedgingAllowed = false;
-            FairRouter router = f.router(s, seed, Fixture.nodes(4));
+            Fixture fixture = new Fixture();
+            RoutingSettings settings = Fixture.settings(Idempotency.IDEMPOTENT);
+            settings.hedgingAllowed = false;
+            FairRouter router = fixture.router(settings, seed, Fixture.endpoints(4));
             for (int i = 0; i < 300; i++) {
-                long now = i * 100 * MS;
-                int before = f.sent.size();
-                RoutingRequest q = Fixture.request(i, SplitMix64.mix(1000 * seed + i), now + S);
-                q.tenant = i % 2;
-                router.onRequest(now, q, f);
-                for (int a = 0; f.sent.size() > before + a; a++) {
-                    boolean bad = f.lastEndpoint() == 1;
-                    there += bad && i >= 100 ? 1 : 0;
-                    boolean fails = bad && i % 2 == 0;
-                    ended(f, router, now, i, a, fails ? o : AttemptOutcome.OK, fails ? note : CacheResult.NONE);
+                long nowUs = i * 100 * MS;
+                int countBefore = fixture.sent.size();
+                RoutingRequest request = Fixture.request(i, SplitMix64.mix(1000 * seed + i), nowUs + S);
+                request.tenant = i % 2;
+                router.onRequest(nowUs, request, fixture);
+                for (int attempt = 0; fixture.sent.size() > countBefore + attempt; attempt++) {
+                    boolean atFailingEndpoint = fixture.lastEndpoint() == 1;
+                    sentToFailingEndpoint += atFailingEndpoint && i >= 100 ? 1 : 0;
+                    boolean fails = atFailingEndpoint && i % 2 == 0;
+                    endAttempt(
+                            fixture,
+                            router,
+                            nowUs,
+                            i,
+                            attempt,
+                            fails ? outcome : AttemptOutcome.OK,
+                            fails ? cacheResult : CacheResult.NONE);
                 }
             }
         }
-        return there;
+        return sentToFailingEndpoint;
     }
 
-    /** A time-out is half the evidence that an error is: it may be due to the network or the request. */
+    /** A timeout is half the evidence of an error, because the network or the request may have caused it. */
     @Test
-    void aTimeOutCountsLessThanAnError() {
-        int error = there(AttemptOutcome.ERROR, CacheResult.NONE);
-        int timeout = there(AttemptOutcome.TIMEOUT, CacheResult.NONE);
-        assertTrue(timeout > error * 1.1, timeout + " after time-outs, " + error + " after errors");
+    void timeoutCountsLessThanError() {
+        int sentAfterErrors = sentToFailingEndpoint(AttemptOutcome.ERROR, CacheResult.NONE);
+        int sentAfterTimeouts = sentToFailingEndpoint(AttemptOutcome.TIMEOUT, CacheResult.NONE);
+        assertTrue(
+                sentAfterTimeouts > sentAfterErrors * 1.1,
+                sentAfterTimeouts + " after timeouts, " + sentAfterErrors + " after errors");
     }
 
-    /** With one endpoint, a request that passes it over is rejected. Hedges were due with attempts in flight. */
+    /** Attempts are in flight when hedge timers fire. A request is rejected if the only endpoint is passed over. */
     @Test
-    void anEndpointWithSlowAttemptsIsAvoided() {
-        int[] refused = new int[2];
-        for (int fired = 0; fired < 2; fired++) {
-            Fixture f = new Fixture();
-            FairRouter router = f.router(Fixture.settings(Idempotency.IDEMPOTENT), 1, Fixture.nodes(1));
+    void avoidsEndpointWithSlowAttempts() {
+        int[] rejectedCount = new int[2];
+        for (int timersFired = 0; timersFired < 2; timersFired++) {
+            Fixture fixture = new Fixture();
+            FairRouter router = fixture.router(Fixture.settings(Idempotency.IDEMPOTENT), 1, Fixture.endpoints(1));
             for (int i = 0; i < 200; i++) {
-                long now = i * 200 * MS;
-                int before = f.sent.size();
-                f.timers.clear();
-                router.onRequest(now, Fixture.request(i, SplitMix64.mix(i), now + S), f);
-                if (f.sent.size() == before) {
-                    refused[fired]++;
+                long nowUs = i * 200 * MS;
+                int countBefore = fixture.sent.size();
+                fixture.timers.clear();
+                router.onRequest(nowUs, Fixture.request(i, SplitMix64.mix(i), nowUs + S), fixture);
+                if (fixture.sent.size() == countBefore) {
+                    rejectedCount[timersFired]++;
                 } else {
-                    if (fired == 1) {
-                        f.fire(router, now + 180 * MS);
+                    if (timersFired == 1) {
+                        fixture.fireTimers(router, nowUs + 180 * MS);
                     }
-                    ended(f, router, now + 190 * MS, i, 0, AttemptOutcome.OK);
+                    endAttempt(fixture, router, nowUs + 190 * MS, i, 0, AttemptOutcome.OK);
                 }
             }
         }
-        assertEquals(0, refused[0]);
-        assertTrue(refused[1] > 0, "it was slow each time");
+        assertEquals(0, rejectedCount[0]);
+        assertTrue(rejectedCount[1] > 0, "the endpoint was slow each time");
     }
 
     /** Where handshakes have a price, connections are closed early only after some have failed. */
     @Test
-    void withAHandshakePriceConnectionsAreKeptUntilSomeFail() {
-        for (double price : new double[] {0, 0.2}) {
-            Fixture f = new Fixture();
-            RoutingSettings s = Fixture.settings(Idempotency.IDEMPOTENT);
-            s.handshakePrice = price;
-            FairRouter router = f.router(s, 1, Fixture.nodes(8));
-            int closed = 0;
-            for (int id = 0; id < 10; id++) { // each endpoint is used every 16 s; a connection may idle for 5
-                router.onRequest(id * 2 * S, Fixture.request(id, SplitMix64.mix(id), id * 2 * S + S), f);
-                f.all.clear();
-                ended(f, router, id * 2 * S, id, 0, AttemptOutcome.OK);
-                closed += f.all.size();
+    void keepsConnectionsUntilSomeFailWhereHandshakesHaveAPrice() {
+        for (double handshakePrice : new double[] {0, 0.2}) {
+            Fixture fixture = new Fixture();
+            RoutingSettings settings = Fixture.settings(Idempotency.IDEMPOTENT);
+            settings.handshakePrice = handshakePrice;
+            FairRouter router = fixture.router(settings, 1, Fixture.endpoints(8));
+            int closedCount = 0;
+            for (int id = 0; id < 10; id++) { // each endpoint is used every 16 s; the idle timeout is 5 s
+                router.onRequest(id * 2 * S, Fixture.request(id, SplitMix64.mix(id), id * 2 * S + S), fixture);
+                fixture.actions.clear();
+                endAttempt(fixture, router, id * 2 * S, id, 0, AttemptOutcome.OK);
+                closedCount += fixture.actions.size();
             }
-            assertTrue(price == 0 ? closed > 5 : closed == 0, closed + " closed at the price " + price);
+            assertTrue(
+                    handshakePrice == 0 ? closedCount > 5 : closedCount == 0,
+                    closedCount + " closed at handshake price " + handshakePrice);
             for (int id = 10; id < 12; id++) {
-                router.onRequest(20 * S, Fixture.request(id, SplitMix64.mix(id), 21 * S), f);
-                ended(f, router, 20 * S, id, 0, AttemptOutcome.CONNECT_FAILED);
+                router.onRequest(20 * S, Fixture.request(id, SplitMix64.mix(id), 21 * S), fixture);
+                endAttempt(fixture, router, 20 * S, id, 0, AttemptOutcome.CONNECT_FAILED);
             }
-            router.onRequest(21 * S, Fixture.request(20, 20, 22 * S), f);
-            f.all.clear();
-            ended(f, router, 21 * S, 20, 0, AttemptOutcome.OK);
-            assertTrue(f.all.toString().contains("close"), "price " + price + ": " + f.all);
+            router.onRequest(21 * S, Fixture.request(20, 20, 22 * S), fixture);
+            fixture.actions.clear();
+            endAttempt(fixture, router, 21 * S, 20, 0, AttemptOutcome.OK);
+            assertTrue(
+                    fixture.actions.toString().contains("close"), "price " + handshakePrice + ": " + fixture.actions);
         }
     }
 
-    /** The origin failed; passing the endpoint over would only cause misses elsewhere. */
+    /** The origin failed; passing over the endpoint would only cause misses at others. */
     @Test
-    void aFailedFetchDoesNotCountAgainstTheEndpoint() {
-        int own = there(AttemptOutcome.ERROR, CacheResult.NONE);
-        int fetched = there(AttemptOutcome.ERROR, CacheResult.MISS);
-        assertTrue(fetched > own * 1.15, fetched + " after fetches that failed, " + own + " after its own errors");
+    void failedFetchDoesNotCountAgainstTheEndpoint() {
+        int sentAfterOwnErrors = sentToFailingEndpoint(AttemptOutcome.ERROR, CacheResult.NONE);
+        int sentAfterFailedFetches = sentToFailingEndpoint(AttemptOutcome.ERROR, CacheResult.MISS);
+        assertTrue(
+                sentAfterFailedFetches > sentAfterOwnErrors * 1.15,
+                sentAfterFailedFetches + " after failed fetches, " + sentAfterOwnErrors + " after errors of its own");
     }
 
     @Test
-    void aRequestWithoutCandidatesIsRejected() {
-        RoutingSettings s = Fixture.settings(Idempotency.IDEMPOTENT);
-        s.slowStartInitialCapacity = 1e-9;
-        EndpointInfo[] nodes = Fixture.nodes(8);
-        for (EndpointInfo n : nodes) {
-            n.startedUs = S;
+    void rejectsRequestWithoutEligibleEndpoint() {
+        RoutingSettings settings = Fixture.settings(Idempotency.IDEMPOTENT);
+        settings.slowStartInitialCapacity = 1e-9;
+        EndpointInfo[] endpoints = Fixture.endpoints(8);
+        for (EndpointInfo endpoint : endpoints) {
+            endpoint.startedUs = S;
         }
-        Fixture f = new Fixture();
-        f.router(s, 1, nodes).onRequest(S, Fixture.request(1, 42, 2 * S), f);
-        assertEquals(1, f.rejected.size(), f.all.toString());
+        Fixture fixture = new Fixture();
+        fixture.router(settings, 1, endpoints).onRequest(S, Fixture.request(1, 42, 2 * S), fixture);
+        assertEquals(1, fixture.rejected.size(), fixture.actions.toString());
     }
 
-    /** Otherwise each request would pay for a handshake. */
+    /** Otherwise each request would cost a handshake. */
     @Test
-    void aBrieflyIdleConnectionIsReused() {
-        Fixture f = new Fixture();
-        RoutingSettings s = Fixture.settings(Idempotency.IDEMPOTENT);
-        s.handshakePrice = 0.2;
-        FairRouter router = f.router(s, 1, Fixture.nodes(1));
+    void reusesBrieflyIdleConnection() {
+        Fixture fixture = new Fixture();
+        RoutingSettings settings = Fixture.settings(Idempotency.IDEMPOTENT);
+        settings.handshakePrice = 0.2;
+        FairRouter router = fixture.router(settings, 1, Fixture.endpoints(1));
         for (int i = 0; i < 20; i++) {
-            long now = 1000 * S + i * 100 * MS;
-            router.onRequest(now, Fixture.request(i, SplitMix64.mix(i), now + S), f);
-            ended(f, router, now, i, 0, AttemptOutcome.OK);
+            long nowUs = 1000 * S + i * 100 * MS;
+            router.onRequest(nowUs, Fixture.request(i, SplitMix64.mix(i), nowUs + S), fixture);
+            endAttempt(fixture, router, nowUs, i, 0, AttemptOutcome.OK);
         }
-        assertEquals(20, f.sent.size());
-        assertTrue(f.all.stream().noneMatch(a -> a.startsWith("close")), f.all.toString());
+        assertEquals(20, fixture.sent.size());
+        assertTrue(
+                fixture.actions.stream().noneMatch(action -> action.startsWith("close")), fixture.actions.toString());
     }
 }
--- a/proxy/src/test/java/cacheproxy/routing/EmbeddingExampleTest.java
+++ b/proxy/src/test/java/cacheproxy/routing/EmbeddingExampleTest.java
@@ -8,47 +8,47 @@
 import java.util.Queue;
 import org.junit.jupiter.api.Test;
 
-/** How a proxy drives the router: through {@link RequestRouter} alone. */
+/** An example of a proxy that embeds the router and uses only {@link RequestRouter} and {@link RoutingActions}. */
 class EmbeddingExampleTest {
 
-    /** A proxy with one endpoint that always responds; a real one would start the attempt on a connection. */
-    private static final class TinyProxy implements RoutingActions {
+    /** A proxy whose endpoint always responds; a real one would send the attempt on a connection. */
+    private static final class MinimalProxy implements RoutingActions {
         private final RequestRouter router;
         private final Queue<Long> attempts = new ArrayDeque<>();
-        final List<String> answers = new ArrayList<>();
+        final List<String> responses = new ArrayList<>();
         private long nowUs;
 
-        TinyProxy(RoutingSettings settings, long seed) {
+        MinimalProxy(RoutingSettings settings, long seed) {
             router = new FairRouter(settings, seed, 0, this);
         }
 
-        void list(EndpointInfo... nodes) {
-            router.onEndpointList(nowUs, EndpointListKind.FULL, nodes, nodes.length, this);
+        void updateEndpoints(EndpointInfo... endpoints) {
+            router.onEndpointList(nowUs, EndpointListKind.FULL, endpoints, endpoints.length, this);
         }
 
-        void serve(RoutingRequest request) {
+        void handle(RoutingRequest request) {
             router.onRequest(nowUs, request, this);
             while (!attempts.isEmpty()) {
                 long id = attempts.remove();
                 nowUs += 2_000;
-                answers.add(id + " served"); // the first success is the client's response: deliver it, then report it
+                responses.add(id + " served"); // delivers the first success to the client, then reports it
                 router.onOutcome(nowUs, id, 0, AttemptOutcome.OK, 2_000, true, CacheResult.HIT, new LoadReport(), this);
             }
         }
 
         @Override
-        public void sendAttempt(long request, int node, long timeoutUs) {
+        public void sendAttempt(long request, int endpoint, long timeoutUs) {
             attempts.add(request);
         }
 
         @Override
         public void reject(long request, long retryAfterUs) {
-            answers.add(request + " refused");
+            responses.add(request + " rejected");
         }
 
         @Override
         public void fail(long request) {
-            answers.add(request + " failed");
+            responses.add(request + " failed");
         }
 
         @Override
@@ -62,12 +62,12 @@
         }
 
         @Override
-        public void checkHealth(int node) {
+        public void checkHealth(int endpoint) {
             // check the endpoint, then call router.onHealthCheck
         }
 
         @Override
-        public void closeIdleConnections(int node) {
+        public void closeIdleConnections(int endpoint) {
             // close idle pooled connections to the endpoint
         }
 
@@ -82,7 +82,7 @@
         }
 
         @Override
-        public void sendGossip(int router, byte[] data) {
+        public void sendGossip(int proxyIndex, byte[] data) {
             // send to another proxy, whose router gets onGossip
         }
 
@@ -93,24 +93,24 @@
     }
 
     @Test
-    void aProxyServesThroughTheRouter() {
+    void proxyServesRequestsThroughTheRouter() {
         RoutingSettings settings = new RoutingSettings();
         RequestClass lookup = new RequestClass();
         lookup.idempotency = Idempotency.IDEMPOTENT;
         lookup.latencyObjectiveUs = 300_000;
         settings.requestClasses = new RequestClass[] {lookup};
         settings.maxAttempts = 3;
-        TinyProxy proxy = new TinyProxy(settings, 42);
+        MinimalProxy proxy = new MinimalProxy(settings, 42);
         RoutingRequest request = new RoutingRequest();
         request.id = 1;
         request.key = 7;
         request.deadlineAtUs = 600_000;
-        proxy.serve(request);
-        EndpointInfo node = new EndpointInfo();
-        node.id = 11;
-        proxy.list(node);
+        proxy.handle(request);
+        EndpointInfo endpoint = new EndpointInfo();
+        endpoint.id = 11;
+        proxy.updateEndpoints(endpoint);
         request.id = 2;
-        proxy.serve(request);
-        assertEquals(List.of("1 refused", "2 served"), proxy.answers);
+        proxy.handle(request);
+        assertEquals(List.of("1 rejected", "2 served"), proxy.responses);
     }
 }
--- a/proxy/src/test/java/cacheproxy/routing/EndpointTableTest.java
+++ b/proxy/src/test/java/cacheproxy/routing/EndpointTableTest.java
@@ -6,139 +6,141 @@
 
 import org.junit.jupiter.api.Test;
 
-/** The endpoint list under many changes. */
+/** The endpoint table after many changes of the endpoint list. */
 class EndpointTableTest {
 
-    private static EndpointInfo node(int id, EndpointState state) {
-        EndpointInfo n = Fixture.node(id);
-        n.state = state;
-        return n;
+    private static EndpointInfo endpointInfo(int id, EndpointState state) {
+        EndpointInfo info = Fixture.endpoint(id);
+        info.state = state;
+        return info;
     }
 
     @Test
-    void endpointsThatAreGoneAreRemoved() {
-        EndpointTable fleet = new EndpointTable(Fixture.settings(Idempotency.IDEMPOTENT));
+    void removesEndpointsThatAreGone() {
+        EndpointTable table = new EndpointTable(Fixture.settings(Idempotency.IDEMPOTENT));
         for (int i = 0; i < 200_000; i++) {
-            EndpointInfo[] change = {node(i, EndpointState.READY), node(i - 10, EndpointState.GONE)};
-            fleet.apply(0, EndpointListKind.DELTA, change, 2);
-            assertTrue(fleet.knownCount() <= 10, "known " + fleet.knownCount());
+            EndpointInfo[] change = {endpointInfo(i, EndpointState.READY), endpointInfo(i - 10, EndpointState.GONE)};
+            table.apply(0, EndpointListKind.DELTA, change, 2);
+            assertTrue(table.knownCount() <= 10, "known " + table.knownCount());
         }
-        assertEquals(10, fleet.readyCount);
-        fleet.apply(0, EndpointListKind.FULL, new EndpointInfo[] {node(7, EndpointState.READY)}, 1);
-        assertEquals(1, fleet.knownCount());
+        assertEquals(10, table.readyCount);
+        table.apply(0, EndpointListKind.FULL, new EndpointInfo[] {endpointInfo(7, EndpointState.READY)}, 1);
+        assertEquals(1, table.knownCount());
     }
 
     @Test
-    void anEndpointThatIsGoneIsKeptWhileAnAttemptIsInFlight() {
-        EndpointTable fleet = new EndpointTable(Fixture.settings(Idempotency.IDEMPOTENT));
-        fleet.apply(0, EndpointListKind.FULL, new EndpointInfo[] {node(1, EndpointState.READY)}, 1);
-        fleet.ready[0].inFlight++;
-        Endpoint out = fleet.ready[0];
-        fleet.apply(0, EndpointListKind.DELTA, new EndpointInfo[] {node(1, EndpointState.GONE)}, 1);
-        assertEquals(1, fleet.knownCount());
-        assertEquals(0, fleet.readyCount);
-        out.inFlight--;
-        fleet.apply(0, EndpointListKind.DELTA, new EndpointInfo[0], 0);
-        assertEquals(0, fleet.knownCount());
+    void keepsGoneEndpointWhileAnAttemptIsInFlight() {
+        EndpointTable table = new EndpointTable(Fixture.settings(Idempotency.IDEMPOTENT));
+        table.apply(0, EndpointListKind.FULL, new EndpointInfo[] {endpointInfo(1, EndpointState.READY)}, 1);
+        table.ready[0].inFlight++;
+        Endpoint endpoint = table.ready[0];
+        table.apply(0, EndpointListKind.DELTA, new EndpointInfo[] {endpointInfo(1, EndpointState.GONE)}, 1);
+        assertEquals(1, table.knownCount());
+        assertEquals(0, table.readyCount);
+        endpoint.inFlight--;
+        table.apply(0, EndpointListKind.DELTA, new EndpointInfo[0], 0);
+        assertEquals(0, table.knownCount());
     }
 
-    private static EndpointInfo node(int id, double weight, long startedUs) {
-        EndpointInfo n = Fixture.node(id);
-        n.weight = weight;
-        n.startedUs = startedUs;
-        return n;
+    private static EndpointInfo endpointInfo(int id, double weight, long startedUs) {
+        EndpointInfo info = Fixture.endpoint(id);
+        info.weight = weight;
+        info.startedUs = startedUs;
+        return info;
     }
 
-    private static EndpointTable of(EndpointInfo... nodes) {
-        EndpointTable fleet = new EndpointTable(Fixture.settings(Idempotency.IDEMPOTENT));
-        fleet.apply(100 * Fixture.S, EndpointListKind.FULL, nodes, nodes.length);
-        return fleet;
+    private static EndpointTable tableOf(EndpointInfo... endpoints) {
+        EndpointTable table = new EndpointTable(Fixture.settings(Idempotency.IDEMPOTENT));
+        table.apply(100 * Fixture.S, EndpointListKind.FULL, endpoints, endpoints.length);
+        return table;
     }
 
-    /** With start times other than the clock's zero. */
+    /** Start times differ from the clock's zero. */
     @Test
-    void anEndpointWarmsUpForTheSlowStartTime() {
-        EndpointTable fleet = of(node(1, 1, 100 * Fixture.S), node(2, 1, Long.MIN_VALUE));
-        assertTrue(fleet.isWarmingUp(fleet.ready[0], 100 * Fixture.S));
-        assertTrue(fleet.isWarmingUp(fleet.ready[0], 110 * Fixture.S - 1));
-        assertFalse(fleet.isWarmingUp(fleet.ready[0], 110 * Fixture.S));
-        assertFalse(fleet.isWarmingUp(fleet.ready[1], 100 * Fixture.S), "it has run for long");
+    void endpointWarmsUpForTheSlowStartTime() {
+        EndpointTable table = tableOf(endpointInfo(1, 1, 100 * Fixture.S), endpointInfo(2, 1, Long.MIN_VALUE));
+        assertTrue(table.isWarmingUp(table.ready[0], 100 * Fixture.S));
+        assertTrue(table.isWarmingUp(table.ready[0], 110 * Fixture.S - 1));
+        assertFalse(table.isWarmingUp(table.ready[0], 110 * Fixture.S));
+        assertFalse(table.isWarmingUp(table.ready[1], 100 * Fixture.S), "it started long ago");
     }
 
-    /** A new process starts without a record; a repeated list entry does not clear one. */
+    /** A restarted endpoint loses its failure probability; a repeated list entry does not reset it. */
     @Test
-    void onlyARestartResetsTheFailureProbability() {
-        EndpointTable fleet = of(node(1, 1, 5));
-        fleet.ready[0].failureProbability.record(true, 0, 1, 0);
-        fleet.apply(0, EndpointListKind.FULL, new EndpointInfo[] {node(1, 1, 5)}, 1);
-        assertEquals(0.8, fleet.ready[0].failureProbability.get(0));
-        fleet.apply(0, EndpointListKind.FULL, new EndpointInfo[] {node(1, 1, 6)}, 1);
-        assertEquals(0, fleet.ready[0].failureProbability.get(0));
+    void onlyRestartResetsTheFailureProbability() {
+        EndpointTable table = tableOf(endpointInfo(1, 1, 5));
+        table.ready[0].failureProbability.record(true, 0, 1, 0);
+        table.apply(0, EndpointListKind.FULL, new EndpointInfo[] {endpointInfo(1, 1, 5)}, 1);
+        assertEquals(0.8, table.ready[0].failureProbability.get(0));
+        table.apply(0, EndpointListKind.FULL, new EndpointInfo[] {endpointInfo(1, 1, 6)}, 1);
+        assertEquals(0, table.ready[0].failureProbability.get(0));
     }
 
-    /** Quotas are set for the endpoints first listed, or for those that were ever warm together. */
+    /** Quotas are set for the endpoints first listed, or for those that were ever warm at the same time. */
     @Test
-    void theTotalWeightIgnoresWarmingAndLostEndpoints() {
-        EndpointTable fleet = of(node(1, 2, 95 * Fixture.S), node(2, 1, Long.MIN_VALUE));
-        assertEquals(3, fleet.weight, "all that were first listed, cold or not");
-        EndpointInfo[] more = {node(3, 4, 99 * Fixture.S)};
-        fleet.apply(100 * Fixture.S, EndpointListKind.DELTA, more, 1);
-        assertEquals(3, fleet.weight, "it cannot do its part yet");
-        fleet.apply(110 * Fixture.S, EndpointListKind.DELTA, more, 1);
-        assertEquals(7, fleet.weight);
-        fleet.apply(120 * Fixture.S, EndpointListKind.FULL, more, 1);
-        assertEquals(7, fleet.weight, "one node cannot take what three did");
+    void totalWeightIgnoresWarmingAndLostEndpoints() {
+        EndpointTable table = tableOf(endpointInfo(1, 2, 95 * Fixture.S), endpointInfo(2, 1, Long.MIN_VALUE));
+        assertEquals(3, table.totalWeight, "all endpoints of the first list, warming or not");
+        EndpointInfo[] addedEndpoint = {endpointInfo(3, 4, 99 * Fixture.S)};
+        table.apply(100 * Fixture.S, EndpointListKind.DELTA, addedEndpoint, 1);
+        assertEquals(3, table.totalWeight, "a warming endpoint does not count yet");
+        table.apply(110 * Fixture.S, EndpointListKind.DELTA, addedEndpoint, 1);
+        assertEquals(7, table.totalWeight);
+        table.apply(120 * Fixture.S, EndpointListKind.FULL, addedEndpoint, 1);
+        assertEquals(7, table.totalWeight, "one endpoint does not have the capacity of three");
     }
 
     @Test
-    void anInvalidWeightCountsAsOne() {
-        EndpointTable fleet = of(node(1, 0, 0), node(2, -3, 0), node(3, 0.25, 0));
-        assertEquals(1, fleet.ready[0].weight);
-        assertEquals(1, fleet.ready[1].weight);
-        assertEquals(0.25, fleet.ready[2].weight);
+    void treatsInvalidWeightAsOne() {
+        EndpointTable table = tableOf(endpointInfo(1, 0, 0), endpointInfo(2, -3, 0), endpointInfo(3, 0.25, 0));
+        assertEquals(1, table.ready[0].weight);
+        assertEquals(1, table.ready[1].weight);
+        assertEquals(0.25, table.ready[2].weight);
     }
 
-    /** The share of keys at endpoints of weight 3, with as many of weight 1. */
-    private static double heavy(int ofEach) {
-        EndpointInfo[] nodes = new EndpointInfo[2 * ofEach];
-        for (int i = 0; i < nodes.length; i++) {
-            nodes[i] = node(i, 1 + 2 * (i % 2), 0);
+    /** The share of keys ranked first at endpoints of weight 3, with the same number of endpoints of weight 1. */
+    private static double heavyShare(int countOfEachWeight) {
+        EndpointInfo[] endpoints = new EndpointInfo[2 * countOfEachWeight];
+        for (int i = 0; i < endpoints.length; i++) {
+            endpoints[i] = endpointInfo(i, 1 + 2 * (i % 2), 0);
         }
-        EndpointTable fleet = of(nodes);
-        int heavy = 0;
+        EndpointTable table = tableOf(endpoints);
+        int heavyCount = 0;
         for (long key = 1; key <= 100_000; key++) {
-            heavy += fleet.rank(SplitMix64.mix(key), 1)[0].id % 2;
+            heavyCount += table.rank(SplitMix64.mix(key), 1)[0].id % 2;
         }
-        return heavy / 1e5;
+        return heavyCount / 1e5;
     }
 
-    /** The approximated logarithm is coarse for two endpoints. */
+    /** For two endpoints the tolerance is larger, because of the approximated logarithm. */
     @Test
-    void keysAreDistributedByWeight() {
-        assertEquals(0.75, heavy(1), 0.06);
-        assertEquals(0.75, heavy(8), 0.01);
+    void distributesKeysByWeight() {
+        assertEquals(0.75, heavyShare(1), 0.06);
+        assertEquals(0.75, heavyShare(8), 0.01);
     }
 
-    /** The order does not depend on how many are requested. */
+    /** The order does not depend on how many endpoints are ranked. */
     @Test
-    void theRankingDoesNotDependOnItsLength() {
-        EndpointInfo[] nodes = new EndpointInfo[12];
-        for (int i = 0; i < nodes.length; i++) {
-            nodes[i] = node(i + 1, 1 + i % 3, 0);
+    void rankingDoesNotDependOnItsLength() {
+        EndpointInfo[] endpoints = new EndpointInfo[12];
+        for (int i = 0; i < endpoints.length; i++) {
+            endpoints[i] = endpointInfo(i + 1, 1 + i % 3, 0);
         }
-        EndpointTable all = of(nodes);
+        EndpointTable table = tableOf(endpoints);
         for (long key = 1; key <= 500; key++) {
-            Endpoint[] ranked = all.rank(SplitMix64.mix(key), 6).clone();
+            Endpoint[] ranked = table.rank(SplitMix64.mix(key), 6).clone();
             for (int i = 0; i < 6; i++) {
-                Endpoint[] fewer = of(nodes).rank(SplitMix64.mix(key), i + 1);
-                assertEquals(ranked[i].id, fewer[i].id, "place " + i + " of key " + key);
+                Endpoint[] fewer = tableOf(endpoints).rank(SplitMix64.mix(key), i + 1);
+                assertEquals(ranked[i].id, fewer[i].id, "rank " + i + " of key " + key);
             }
-            // the best of those that remain without the better ones
-            EndpointInfo[] rest = nodes.clone();
+            // without the better endpoints, the next one ranks first
+            EndpointInfo[] remaining = endpoints.clone();
             for (int i = 0; i < 3; i++) {
-                int best = ranked[i].id;
-                assertEquals(best, of(rest).rank(SplitMix64.mix(key), 1)[0].id);
-                rest = java.util.Arrays.stream(rest).filter(n -> n.id != best).toArray(EndpointInfo[]::new);
+                int bestId = ranked[i].id;
+                assertEquals(bestId, tableOf(remaining).rank(SplitMix64.mix(key), 1)[0].id);
+                remaining = java.util.Arrays.stream(remaining)
+                        .filter(info -> info.id != bestId)
+                        .toArray(EndpointInfo[]::new);
             }
         }
     }
--- a/proxy/src/test/java/cacheproxy/routing/FairRouterMechanismsTest.java
+++ b/proxy/src/test/java/cacheproxy/routing/FairRouterMechanismsTest.java
@@ -9,26 +9,28 @@
 import java.util.Set;
 import org.junit.jupiter.api.Test;
 
-/** The mechanisms of FAIR, each alone, and the departures from it. */
+/** Each mechanism of the FAIR paper by itself, the differences from it, and the other policies of the router. */
 class FairRouterMechanismsTest {
     private static final long MS = Fixture.MS;
     private static final long S = Fixture.S;
-    private final Fixture out = new Fixture();
+    private final Fixture fixture = new Fixture();
 
     @Test
-    void blueTakesTheMinimumOfItsLevels() {
+    void blueValueIsTheMinimumOfItsLevels() {
         StochasticFairBlue blue = new StochasticFairBlue(3, 64, 1e6, 7);
         blue.add(1, 0.5, 1, 0);
         assertEquals(0.5, blue.min(1, 0), 1e-6);
-        int touched = 0;
+        int affectedCount = 0;
         for (int tenant = 2; tenant < 1000; tenant++) {
-            touched += blue.min(tenant, 0) > 0 ? 1 : 0;
+            affectedCount += blue.min(tenant, 0) > 0 ? 1 : 0;
         }
-        assertTrue(touched <= 5, "sharing one level's bucket must not be enough: " + touched);
+        assertTrue(
+                affectedCount <= 5,
+                "tenants that share the bucket of one level only must not be affected: " + affectedCount);
     }
 
     @Test
-    void blueStaysWithinItsBoundsDecaysAndResets() {
+    void blueValueStaysWithinBoundsDecaysAndResets() {
         StochasticFairBlue blue = new StochasticFairBlue(3, 64, 1e6, 7);
         blue.add(1, 5, 0.95, 0);
         assertEquals(0.95, blue.min(1, 0), 1e-6);
@@ -41,59 +43,59 @@
     }
 
     @Test
-    void timeOutsLeadToRejectionsWithRetryAfterThatDecay() {
-        FairRouter router = out.router(Fixture.settings(Idempotency.IDEMPOTENT), 1, Fixture.nodes(8));
-        failMany(router, 60, 0);
-        int before = out.rejected.size();
-        int refused = offer(router, 1000, 50, 0, 2 * S);
-        assertTrue(refused > 25, "a tenant whose requests all time out is refused: " + refused);
-        assertTrue(out.retryAfters.get(before) > 0, "a refusal says when to return");
-        int later = offer(router, 2000, 50, 0, 90 * S);
-        assertTrue(later < 5, "the chance fades once failures end: " + later);
+    void timeoutsLeadToRejectionsWithRetryAfterThatDecay() {
+        FairRouter router = fixture.router(Fixture.settings(Idempotency.IDEMPOTENT), 1, Fixture.endpoints(8));
+        failRequests(router, 60, 0);
+        int rejectedBefore = fixture.rejected.size();
+        int rejectedCount = sendRequests(router, 1000, 50, 0, 2 * S);
+        assertTrue(rejectedCount > 25, "rejected requests of a tenant whose requests all time out: " + rejectedCount);
+        assertTrue(fixture.retryAfters.get(rejectedBefore) > 0, "a rejection has a Retry-After");
+        int rejectedLater = sendRequests(router, 2000, 50, 0, 90 * S);
+        assertTrue(rejectedLater < 5, "the probability decays after the failures: " + rejectedLater);
     }
 
     @Test
-    void anotherTenantIsNotRejected() {
-        FairRouter router = out.router(Fixture.settings(Idempotency.IDEMPOTENT), 1, Fixture.nodes(8));
-        failMany(router, 60, 0);
-        RoutingRequest q = Fixture.request(5000, 77, 3 * S);
-        q.tenant = 1;
-        int before = out.rejected.size();
-        router.onRequest(2 * S, q, out);
-        assertEquals(before, out.rejected.size());
+    void doesNotRejectAnotherTenant() {
+        FairRouter router = fixture.router(Fixture.settings(Idempotency.IDEMPOTENT), 1, Fixture.endpoints(8));
+        failRequests(router, 60, 0);
+        RoutingRequest request = Fixture.request(5000, 77, 3 * S);
+        request.tenant = 1;
+        int rejectedBefore = fixture.rejected.size();
+        router.onRequest(2 * S, request, fixture);
+        assertEquals(rejectedBefore, fixture.rejected.size());
     }
 
     @Test
-    void rotationKeepsWhatTheStandbyTableLearnt() {
-        RoutingSettings s = Fixture.settings(Idempotency.IDEMPOTENT);
-        FairRouter router = out.router(s, 1, Fixture.nodes(8));
-        for (int second = 0; second < 130; second++) { // two rotations: within 60 s, and 60 s later
-            failMany(router, 50, second * S);
+    void rotationKeepsTheProbabilities() {
+        RoutingSettings settings = Fixture.settings(Idempotency.IDEMPOTENT);
+        FairRouter router = fixture.router(settings, 1, Fixture.endpoints(8));
+        for (int second = 0; second < 130; second++) { // two rotations: one within 60 s, the next 60 s later
+            failRequests(router, 50, second * S);
             if (second >= 10) {
-                int refused = offer(router, 1_000_000_000 + second * 100, 20, 0, (second + 1) * S - MS);
-                assertTrue(refused > 5, "no free pass at " + second + " s: " + refused + " of 20");
+                int rejectedCount = sendRequests(router, 1_000_000_000 + second * 100, 20, 0, (second + 1) * S - MS);
+                assertTrue(rejectedCount > 5, "rejected at " + second + " s: " + rejectedCount + " of 20");
             }
         }
     }
 
     @Test
-    void aTenantOverItsQuotaIsRejectedFirst() {
-        RoutingSettings s = Fixture.settings(Idempotency.IDEMPOTENT);
-        s.tenants[0].requestsPerSecond = 4;
-        s.tenants[1].requestsPerSecond = 400;
-        FairRouter router = out.router(s, 1, Fixture.nodes(8));
-        int[] refusals = new int[2];
+    void rejectsTenantOverItsQuotaFirst() {
+        RoutingSettings settings = Fixture.settings(Idempotency.IDEMPOTENT);
+        settings.tenants[0].requestsPerSecond = 4;
+        settings.tenants[1].requestsPerSecond = 400;
+        FairRouter router = fixture.router(settings, 1, Fixture.endpoints(8));
+        int[] rejectionsByTenant = new int[2];
         for (int i = 0; i < 600; i++) {
-            RoutingRequest q = Fixture.request(i, 1000 + i, 0);
-            q.tenant = i % 2;
-            long now = i * 20 * MS;
-            q.deadlineAtUs = now + 600 * MS;
-            int refusedBefore = out.rejected.size();
-            int sentBefore = out.sent.size();
-            router.onRequest(now, q, out);
-            if (out.sent.size() > sentBefore) {
+            RoutingRequest request = Fixture.request(i, 1000 + i, 0);
+            request.tenant = i % 2;
+            long nowUs = i * 20 * MS;
+            request.deadlineAtUs = nowUs + 600 * MS;
+            int rejectedBefore = fixture.rejected.size();
+            int sentBefore = fixture.sent.size();
+            router.onRequest(nowUs, request, fixture);
+            if (fixture.sent.size() > sentBefore) {
                 router.onOutcome(
-                        now,
+                        nowUs,
                         i,
                         0,
                         i % 10 < 2 ? AttemptOutcome.TIMEOUT : AttemptOutcome.OK,
@@ -101,325 +103,356 @@
                         i % 10 >= 2,
                         CacheResult.HIT,
                         new LoadReport(),
-                        out);
+                        fixture);
             }
-            refusals[q.tenant] += out.rejected.size() > refusedBefore && out.sent.size() == sentBefore ? 1 : 0;
+            rejectionsByTenant[request.tenant] +=
+                    fixture.rejected.size() > rejectedBefore && fixture.sent.size() == sentBefore ? 1 : 0;
         }
-        assertTrue(refusals[0] > 3 * (refusals[1] + 1), refusals[0] + " beyond, " + refusals[1] + " within");
+        assertTrue(
+                rejectionsByTenant[0] > 3 * (rejectionsByTenant[1] + 1),
+                rejectionsByTenant[0] + " over the quota, " + rejectionsByTenant[1] + " within");
     }
 
     @Test
-    void aKeyStaysAtItsFirstCandidateUnlessTheSecondIsLessBusy() {
-        FairRouter router = out.router(Fixture.settings(Idempotency.IDEMPOTENT), 1, Fixture.nodes(8));
-        Set<Integer> met = new HashSet<>();
+    void keepsKeyAtItsFirstCandidateUnlessTheSecondIsLessBusy() {
+        FairRouter router = fixture.router(Fixture.settings(Idempotency.IDEMPOTENT), 1, Fixture.endpoints(8));
+        Set<Integer> selectedEndpoints = new HashSet<>();
         for (int i = 0; i < 3; i++) {
-            router.onRequest(i * 100 * S, Fixture.request(i, 42, (i + 1) * 100 * S), out);
-            met.add(out.lastEndpoint());
-            out.outcome(router, i * 100 * S + MS, i, 0, AttemptOutcome.OK);
+            router.onRequest(i * 100 * S, Fixture.request(i, 42, (i + 1) * 100 * S), fixture);
+            selectedEndpoints.add(fixture.lastEndpoint());
+            fixture.outcome(router, i * 100 * S + MS, i, 0, AttemptOutcome.OK);
         }
-        assertEquals(1, met.size(), "nothing in flight: affinity");
-        router.onRequest(400 * S, Fixture.request(10, 42, 500 * S), out);
-        int first = out.lastEndpoint();
-        router.onRequest(430 * S, Fixture.request(11, 42, 500 * S), out);
-        assertNotEquals(first, out.lastEndpoint(), "one in flight there: the second candidate");
+        assertEquals(1, selectedEndpoints.size(), "nothing is in flight, so all requests use the first candidate");
+        router.onRequest(400 * S, Fixture.request(10, 42, 500 * S), fixture);
+        int firstEndpoint = fixture.lastEndpoint();
+        router.onRequest(430 * S, Fixture.request(11, 42, 500 * S), fixture);
+        assertNotEquals(
+                firstEndpoint,
+                fixture.lastEndpoint(),
+                "one request is in flight at the first candidate, so the second is selected");
     }
 
     @Test
-    void equalRequestsInFlightAreDecidedByReportedLoad() {
-        FairRouter router = out.router(Fixture.settings(Idempotency.IDEMPOTENT), 1, Fixture.nodes(8));
-        router.onRequest(0, Fixture.request(1, 42, S), out);
-        int first = out.lastEndpoint();
+    void reportedLoadDecidesBetweenEqualRequestsInFlight() {
+        FairRouter router = fixture.router(Fixture.settings(Idempotency.IDEMPOTENT), 1, Fixture.endpoints(8));
+        router.onRequest(0, Fixture.request(1, 42, S), fixture);
+        int firstEndpoint = fixture.lastEndpoint();
         LoadReport report = new LoadReport();
         report.cpuUtilization = 0.9;
-        router.onOutcome(MS, 1, 0, AttemptOutcome.OK, MS, true, CacheResult.HIT, report, out);
-        router.onRequest(2 * MS, Fixture.request(2, 42, S), out);
-        assertNotEquals(first, out.lastEndpoint());
+        router.onOutcome(MS, 1, 0, AttemptOutcome.OK, MS, true, CacheResult.HIT, report, fixture);
+        router.onRequest(2 * MS, Fixture.request(2, 42, S), fixture);
+        assertNotEquals(firstEndpoint, fixture.lastEndpoint());
     }
 
     @Test
-    void onlyAPopularKeyIsSpreadBeyondTwoEndpoints() {
-        FairRouter router = out.router(Fixture.settings(Idempotency.IDEMPOTENT), 1, Fixture.nodes(20));
-        Set<Integer> hot = new HashSet<>();
-        Set<Integer> cold = new HashSet<>();
+    void spreadsOnlyPopularKeyBeyondTwoEndpoints() {
+        FairRouter router = fixture.router(Fixture.settings(Idempotency.IDEMPOTENT), 1, Fixture.endpoints(20));
+        Set<Integer> endpointsOfPopularKey = new HashSet<>();
+        Set<Integer> endpointsOfUnpopularKey = new HashSet<>();
         for (int i = 0; i < 400; i++) {
-            long now = i * 10 * MS;
-            boolean isHot = i % 4 == 0;
-            long key = isHot ? 42 : i % 40 == 1 ? 43 : 100_000 + i;
-            router.onRequest(now, Fixture.request(i, key, now + S), out);
-            (key == 42 ? hot : key == 43 ? cold : new HashSet<Integer>()).add(out.lastEndpoint());
-            out.outcome(router, now, i, 0, AttemptOutcome.OK);
+            long nowUs = i * 10 * MS;
+            boolean popular = i % 4 == 0;
+            long key = popular ? 42 : i % 40 == 1 ? 43 : 100_000 + i;
+            router.onRequest(nowUs, Fixture.request(i, key, nowUs + S), fixture);
+            (key == 42 ? endpointsOfPopularKey : key == 43 ? endpointsOfUnpopularKey : new HashSet<Integer>())
+                    .add(fixture.lastEndpoint());
+            fixture.outcome(router, nowUs, i, 0, AttemptOutcome.OK);
         }
-        assertTrue(hot.size() > 4, "a quarter of the traffic needs more than two of 20: " + hot.size());
-        assertTrue(cold.size() <= 4, "a key of 1 in 40 needs few: " + cold.size());
+        assertTrue(
+                endpointsOfPopularKey.size() > 4,
+                "a key with a quarter of all requests needs more than two of 20 endpoints: "
+                        + endpointsOfPopularKey.size());
+        assertTrue(
+                endpointsOfUnpopularKey.size() <= 4,
+                "a key with 1 in 40 requests needs few: " + endpointsOfUnpopularKey.size());
     }
 
     @Test
-    void aFailingEndpointIsPassedOverAndStillTried() {
-        FairRouter router = out.router(Fixture.settings(Idempotency.IDEMPOTENT), 1, Fixture.nodes(8));
-        router.onRequest(0, Fixture.request(1, 42, S), out);
-        int first = out.lastEndpoint();
-        out.outcome(router, 0, 1, 0, AttemptOutcome.OK);
-        int toFirst = 0;
+    void passesOverFailingEndpointButStillTriesIt() {
+        FairRouter router = fixture.router(Fixture.settings(Idempotency.IDEMPOTENT), 1, Fixture.endpoints(8));
+        router.onRequest(0, Fixture.request(1, 42, S), fixture);
+        int firstEndpoint = fixture.lastEndpoint();
+        fixture.outcome(router, 0, 1, 0, AttemptOutcome.OK);
+        int sentToFirst = 0;
         for (int i = 2; i < 160; i++) {
-            long now = i * 200 * MS;
-            router.onRequest(now, Fixture.request(i, 42, now + S), out);
-            int at = out.lastEndpoint();
-            toFirst += at == first ? 1 : 0;
-            out.outcome(router, now, i, 0, at == first ? AttemptOutcome.CONNECT_FAILED : AttemptOutcome.OK);
-            if (at == first) {
-                out.outcome(router, now, i, 1, AttemptOutcome.OK);
+            long nowUs = i * 200 * MS;
+            router.onRequest(nowUs, Fixture.request(i, 42, nowUs + S), fixture);
+            int selectedEndpoint = fixture.lastEndpoint();
+            sentToFirst += selectedEndpoint == firstEndpoint ? 1 : 0;
+            fixture.outcome(
+                    router,
+                    nowUs,
+                    i,
+                    0,
+                    selectedEndpoint == firstEndpoint ? AttemptOutcome.CONNECT_FAILED : AttemptOutcome.OK);
+            if (selectedEndpoint == firstEndpoint) {
+                fixture.outcome(router, nowUs, i, 1, AttemptOutcome.OK);
             }
         }
-        assertTrue(toFirst < 40 && toFirst > 2, "passed over mostly, tried at times: " + toFirst);
+        assertTrue(sentToFirst < 40 && sentToFirst > 2, "mostly passed over, but sometimes tried: " + sentToFirst);
     }
 
     @Test
-    void retriesAreLimitedByABudgetThatSuccessesEarn() {
-        FairRouter router = out.router(Fixture.settings(Idempotency.IDEMPOTENT), 1, Fixture.nodes(8));
+    void limitsRetriesByABudgetThatSuccessesFill() {
+        FairRouter router = fixture.router(Fixture.settings(Idempotency.IDEMPOTENT), 1, Fixture.endpoints(8));
         for (int i = 0; i < 100; i++) {
-            router.onRequest(i * MS, Fixture.request(i, 1 + i, i * MS + S), out);
-            for (int a = 0; out.sent.get(out.sent.size() - 1).request() == i && a < 4; a++) {
-                out.outcome(router, i * MS, i, a, AttemptOutcome.ERROR);
+            router.onRequest(i * MS, Fixture.request(i, 1 + i, i * MS + S), fixture);
+            for (int attempt = 0; fixture.sent.get(fixture.sent.size() - 1).request() == i && attempt < 4; attempt++) {
+                fixture.outcome(router, i * MS, i, attempt, AttemptOutcome.ERROR);
             }
         }
         long requests =
-                out.sent.stream().mapToLong(Fixture.Sent::request).distinct().count();
-        assertTrue(out.sent.size() - requests <= 2, out.sent.size() + " attempts for " + requests);
+                fixture.sent.stream().mapToLong(Fixture.SentAttempt::request).distinct().count();
+        assertTrue(fixture.sent.size() - requests <= 2, fixture.sent.size() + " attempts for " + requests);
     }
 
     @Test
-    void requestsWithoutKeyTenantOrEndpointsGetAResponse() {
-        RoutingSettings s = Fixture.settings(Idempotency.IDEMPOTENT);
-        s.tenants = new TenantQuota[0];
-        FairRouter router = out.router(s, 1);
-        router.onRequest(0, Fixture.request(1, 0, S), out);
-        assertEquals(1, out.rejected.size(), "nowhere to send: refused at once");
-        router.onEndpointList(0, EndpointListKind.DELTA, Fixture.nodes(3), 3, out);
-        router.onRequest(0, Fixture.request(2, 0, S), out);
-        assertEquals(1, out.sent.size());
+    void handlesRequestsWithoutKeyTenantOrEndpoints() {
+        RoutingSettings settings = Fixture.settings(Idempotency.IDEMPOTENT);
+        settings.tenants = new TenantQuota[0];
+        FairRouter router = fixture.router(settings, 1);
+        router.onRequest(0, Fixture.request(1, 0, S), fixture);
+        assertEquals(1, fixture.rejected.size(), "without endpoints the request is rejected at once");
+        router.onEndpointList(0, EndpointListKind.DELTA, Fixture.endpoints(3), 3, fixture);
+        router.onRequest(0, Fixture.request(2, 0, S), fixture);
+        assertEquals(1, fixture.sent.size());
     }
 
     @Test
     void subscribesInTimeAndBacksOffAfterFailures() {
-        RoutingSettings s = Fixture.settings(Idempotency.IDEMPOTENT);
-        s.subscribeRequired = true;
-        s.proxyCount = 1000;
-        Set<Long> moments = new HashSet<>();
+        RoutingSettings settings = Fixture.settings(Idempotency.IDEMPOTENT);
+        settings.subscribeRequired = true;
+        settings.proxyCount = 1000;
+        Set<Long> subscribeSeconds = new HashSet<>();
         for (int seed = 0; seed < 50; seed++) {
-            Fixture f = new Fixture();
-            f.router(s, seed * 7919, Fixture.nodes(2));
-            long at = f.timers.get(0)[0];
-            assertTrue(at <= s.subscribeWithinUs, "within the time after which it is deemed informed");
-            moments.add(at / S);
+            Fixture caseFixture = new Fixture();
+            caseFixture.router(settings, seed * 7919, Fixture.endpoints(2));
+            long delayUs = caseFixture.timers.get(0)[0];
+            assertTrue(
+                    delayUs <= settings.subscribeWithinUs,
+                    "within the time in which the first subscription must be made");
+            subscribeSeconds.add(delayUs / S);
         }
-        assertTrue(moments.size() >= 6, "spread over seconds: " + moments);
-        FairRouter router = out.router(s, 3, Fixture.nodes(2));
-        out.fire(router, 8 * S);
-        assertEquals(1, out.subscribes);
-        router.onEndpointList(9 * S, EndpointListKind.FAILED, new EndpointInfo[0], 0, out);
-        assertTrue(out.timers.get(0)[0] > S, "not again at once");
-        out.fire(router, 12 * S);
-        assertEquals(2, out.subscribes);
-        router.onEndpointList(13 * S, EndpointListKind.FULL, Fixture.nodes(2), 2, out);
-        assertTrue(out.timers.isEmpty(), "subscribed: nothing more to ask");
+        assertTrue(subscribeSeconds.size() >= 6, "spread over several seconds: " + subscribeSeconds);
+        FairRouter router = fixture.router(settings, 3, Fixture.endpoints(2));
+        fixture.fireTimers(router, 8 * S);
+        assertEquals(1, fixture.subscriptions);
+        router.onEndpointList(9 * S, EndpointListKind.FAILED, new EndpointInfo[0], 0, fixture);
+        assertTrue(fixture.timers.get(0)[0] > S, "no retry without a backoff");
+        fixture.fireTimers(router, 12 * S);
+        assertEquals(2, fixture.subscriptions);
+        router.onEndpointList(13 * S, EndpointListKind.FULL, Fixture.endpoints(2), 2, fixture);
+        assertTrue(fixture.timers.isEmpty(), "once subscribed, no timer is started");
     }
 
-    /** Incidents i82db3d, icf0b68, i15b002: saturated endpoints recover only when most load is shed. */
+    /** Incidents i82db3d, icf0b68 and i15b002: saturated endpoints recover only if most of the load is rejected. */
     @Test
     void consecutiveFailuresLeadToRejectionsBelowTheQuota() {
-        RoutingSettings s = Fixture.settings(Idempotency.IDEMPOTENT);
-        s.tenants[0].requestsPerSecond =
-                1000; // far above the demand: the quota weight is small until failures are consecutive
-        FairRouter router = out.router(s, 1, Fixture.nodes(8));
-        failMany(router, 150, 0);
-        int refused = offer(router, 1000, 50, 0, 3 * S);
-        assertTrue(refused > 25, "most load is taken off: " + refused + " of 50");
+        RoutingSettings settings = Fixture.settings(Idempotency.IDEMPOTENT);
+        settings.tenants[0].requestsPerSecond =
+                1000; // far above the demand, so the quota weight is small until failures are consecutive
+        FairRouter router = fixture.router(settings, 1, Fixture.endpoints(8));
+        failRequests(router, 150, 0);
+        int rejectedCount = sendRequests(router, 1000, 50, 0, 3 * S);
+        assertTrue(rejectedCount > 25, "most of the load is rejected: " + rejectedCount + " of 50");
     }
 
-    /** The slow attempt of a hedged request ends cancelled, which would never count against its endpoint. */
+    /** The slow attempt of a hedged request ends as cancelled, an outcome that does not count against its endpoint. */
     @Test
-    void anAttemptInFlightAtTheHedgeCountsAgainstItsEndpoint() {
-        FairRouter router = out.router(Fixture.settings(Idempotency.IDEMPOTENT), 1, Fixture.nodes(4));
-        int there = 0;
+    void attemptInFlightAtTheHedgeCountsAgainstItsEndpoint() {
+        FairRouter router = fixture.router(Fixture.settings(Idempotency.IDEMPOTENT), 1, Fixture.endpoints(4));
+        int sentToSlowEndpoint = 0;
         for (int i = 0; i < 300; i++) {
-            long now = i * 400 * MS;
-            out.timers.clear();
-            router.onRequest(now, Fixture.request(i, 1 + i, now + S), out);
-            boolean slow = out.lastEndpoint() == 1;
-            there += slow && i >= 100 ? 1 : 0;
-            if (slow) {
-                out.fire(router, now + 150 * MS);
+            long nowUs = i * 400 * MS;
+            fixture.timers.clear();
+            router.onRequest(nowUs, Fixture.request(i, 1 + i, nowUs + S), fixture);
+            boolean atSlowEndpoint = fixture.lastEndpoint() == 1;
+            sentToSlowEndpoint += atSlowEndpoint && i >= 100 ? 1 : 0;
+            if (atSlowEndpoint) {
+                fixture.fireTimers(router, nowUs + 150 * MS);
             }
-            boolean copied = slow && out.lastEndpoint() != 1;
-            out.outcome(router, now + 160 * MS, i, copied ? 1 : 0, AttemptOutcome.OK);
-            if (copied) {
-                out.outcome(router, now + 161 * MS, i, 0, AttemptOutcome.CANCELLED);
+            boolean hedged = atSlowEndpoint && fixture.lastEndpoint() != 1;
+            fixture.outcome(router, nowUs + 160 * MS, i, hedged ? 1 : 0, AttemptOutcome.OK);
+            if (hedged) {
+                fixture.outcome(router, nowUs + 161 * MS, i, 0, AttemptOutcome.CANCELLED);
             }
         }
-        assertTrue(there < 25, "slow each time, so mostly passed over: " + there + " of 200, 50 its due");
+        assertTrue(
+                sentToSlowEndpoint < 25,
+                "attempts at the slow endpoint: " + sentToSlowEndpoint + " of 200, where 50 would be its share");
     }
 
-    /** While the origin is slow, tenant admission must not reject hits in addition to the rejected fetches. */
+    /** While the origin fails, its admission rejects fetches; tenant admission must not reject hits as well. */
     @Test
     void failedFetchesCountAgainstTheOriginMoreThanTheTenant() {
-        int[] refused = new int[2];
-        for (int fetch = 0; fetch < 2; fetch++) {
-            Fixture f = new Fixture();
-            FairRouter router = f.router(Fixture.settings(Idempotency.IDEMPOTENT), 1, Fixture.nodes(8));
+        int[] rejectedCount = new int[2];
+        for (int fetched = 0; fetched < 2; fetched++) {
+            Fixture caseFixture = new Fixture();
+            FairRouter router = caseFixture.router(Fixture.settings(Idempotency.IDEMPOTENT), 1, Fixture.endpoints(8));
             for (int i = 0; i < 200; i++) {
-                long now = i * 20 * MS;
+                long nowUs = i * 20 * MS;
                 boolean hit = i % 2 == 0;
-                int sentBefore = f.sent.size();
-                router.onRequest(now, Fixture.request(i, hit ? 42 : 1000 + i, now + S), f);
-                if (f.sent.size() > sentBefore) {
+                int sentBefore = caseFixture.sent.size();
+                router.onRequest(nowUs, Fixture.request(i, hit ? 42 : 1000 + i, nowUs + S), caseFixture);
+                if (caseFixture.sent.size() > sentBefore) {
                     router.onOutcome(
-                            now,
+                            nowUs,
                             i,
                             0,
                             hit ? AttemptOutcome.OK : AttemptOutcome.ERROR,
                             MS,
                             hit,
-                            hit ? CacheResult.HIT : fetch == 1 ? CacheResult.MISS : CacheResult.NONE,
+                            hit ? CacheResult.HIT : fetched == 1 ? CacheResult.MISS : CacheResult.NONE,
                             new LoadReport(),
-                            f);
+                            caseFixture);
                 } else if (hit) {
-                    refused[fetch]++;
+                    rejectedCount[fetched]++;
                 }
             }
         }
-        assertTrue(2 * refused[1] < refused[0], refused[1] + " hits refused for the origin, " + refused[0]);
+        assertTrue(
+                2 * rejectedCount[1] < rejectedCount[0],
+                rejectedCount[1] + " hits rejected after failed fetches, after other errors " + rejectedCount[0]);
     }
 
-    /** Site milano-turni big-2: idle connections were dropped silently, and requests on them got no response. */
+    /** On site milano-turni big-2 idle connections were dropped silently, and requests on them got no response. */
     @Test
-    void aTimeOutOnAnIdleConnectionReducesTheIdleTimeout() {
-        RoutingSettings s = Fixture.settings(Idempotency.IDEMPOTENT);
-        s.idleTimeoutUs = 60 * S;
-        FairRouter router = out.router(s, 1, Fixture.nodes(1));
-        router.onRequest(0, Fixture.request(1, 1, S), out);
-        out.outcome(router, MS, 1, 0, AttemptOutcome.OK);
-        int silent = 0;
+    void timeoutOnIdleConnectionReducesTheIdleTimeout() {
+        RoutingSettings settings = Fixture.settings(Idempotency.IDEMPOTENT);
+        settings.idleTimeoutUs = 60 * S;
+        FairRouter router = fixture.router(settings, 1, Fixture.endpoints(1));
+        router.onRequest(0, Fixture.request(1, 1, S), fixture);
+        fixture.outcome(router, MS, 1, 0, AttemptOutcome.OK);
+        int timedOutCount = 0;
         for (int i = 2; i < 40; i++) {
-            long now = i * 3 * S;
-            out.timers.clear();
-            router.onRequest(now, Fixture.request(i, 1, now + S), out);
-            if (out.sent.get(out.sent.size() - 1).request() != i) {
-                continue; // rejected: nothing was sent on the connection
+            long nowUs = i * 3 * S;
+            fixture.timers.clear();
+            router.onRequest(nowUs, Fixture.request(i, 1, nowUs + S), fixture);
+            if (fixture.sent.get(fixture.sent.size() - 1).request() != i) {
+                continue; // rejected, so nothing was sent on the connection
             }
-            boolean dead = !out.all.contains("close 1");
-            out.all.clear();
-            if (dead) {
-                silent++;
-                out.fire(router, now + 180 * MS);
+            boolean connectionDropped = !fixture.actions.contains("close 1");
+            fixture.actions.clear();
+            if (connectionDropped) {
+                timedOutCount++;
+                fixture.fireTimers(router, nowUs + 180 * MS);
             }
-            out.outcome(router, now + 200 * MS, i, 0, dead ? AttemptOutcome.TIMEOUT : AttemptOutcome.OK);
+            fixture.outcome(
+                    router, nowUs + 200 * MS, i, 0, connectionDropped ? AttemptOutcome.TIMEOUT : AttemptOutcome.OK);
         }
-        assertTrue(silent > 0 && silent < 12, "learnt after a few silences, and tried again: " + silent);
+        assertTrue(timedOutCount > 0 && timedOutCount < 12, "timeouts on idle connections: " + timedOutCount);
     }
 
-    /** Site bole-campus big-1: idle connections filled the endpoints' tables; half of all attempts were refused. */
+    /** On site bole-campus big-1 idle connections used up the endpoints' limits; half of all attempts were refused. */
     @Test
     void refusedConnectionsReduceTheIdleTimeout() {
-        RoutingSettings s = Fixture.settings(Idempotency.IDEMPOTENT);
-        s.idleTimeoutUs = 60 * S;
-        FairRouter router = out.router(s, 1, Fixture.nodes(8));
+        RoutingSettings settings = Fixture.settings(Idempotency.IDEMPOTENT);
+        settings.idleTimeoutUs = 60 * S;
+        FairRouter router = fixture.router(settings, 1, Fixture.endpoints(8));
         for (int i = 0; i < 40; i++) {
-            long now = i * 500 * MS;
-            router.onRequest(now, Fixture.request(i, 1 + i, now + S), out);
-            AttemptOutcome o = i >= 10 && i < 20 ? AttemptOutcome.CONNECT_FAILED : AttemptOutcome.OK;
-            out.outcome(router, now + MS, i, 0, o);
+            long nowUs = i * 500 * MS;
+            router.onRequest(nowUs, Fixture.request(i, 1 + i, nowUs + S), fixture);
+            AttemptOutcome outcome = i >= 10 && i < 20 ? AttemptOutcome.CONNECT_FAILED : AttemptOutcome.OK;
+            fixture.outcome(router, nowUs + MS, i, 0, outcome);
             if (i < 10) {
-                assertTrue(out.all.stream().noneMatch(a -> a.startsWith("close")), "none closed without need");
-            } else if (o == AttemptOutcome.OK) {
-                assertTrue(out.all.get(out.all.size() - 1).startsWith("close"), "closed after use");
+                assertTrue(
+                        fixture.actions.stream().noneMatch(action -> action.startsWith("close")),
+                        "no connection is closed before one was refused");
+            } else if (outcome == AttemptOutcome.OK) {
+                assertTrue(
+                        fixture.actions.get(fixture.actions.size() - 1).startsWith("close"),
+                        "the connection is closed after use");
             }
         }
     }
 
-    /** Failures at outliers must not get a tenant within its quota rejected at other endpoints. */
+    /** Failures at outliers must not cause rejections of a tenant within its quota at other endpoints. */
     @Test
     void outliersDoNotCountAgainstATenantWithinItsQuota() {
-        int[] refused = new int[2];
+        int[] rejectedCount = new int[2];
         for (int seed = 1; seed <= 20; seed++) {
-            for (int spread = 0; spread < 2; spread++) {
-                Fixture f = new Fixture();
-                FairRouter router = f.router(Fixture.settings(Idempotency.IDEMPOTENT), seed, Fixture.nodes(8));
+            for (int failuresSpread = 0; failuresSpread < 2; failuresSpread++) {
+                Fixture caseFixture = new Fixture();
+                FairRouter router = caseFixture.router(
+                        Fixture.settings(Idempotency.IDEMPOTENT), seed, Fixture.endpoints(8));
                 for (int i = 0; i < 300; i++) {
-                    long now = i * 100 * MS;
-                    int before = f.sent.size();
-                    router.onRequest(now, Fixture.request(i, 1 + i, now + S), f);
-                    if (f.sent.size() == before) {
-                        refused[spread]++;
+                    long nowUs = i * 100 * MS;
+                    int sentBefore = caseFixture.sent.size();
+                    router.onRequest(nowUs, Fixture.request(i, 1 + i, nowUs + S), caseFixture);
+                    if (caseFixture.sent.size() == sentBefore) {
+                        rejectedCount[failuresSpread]++;
                         continue;
                     }
-                    boolean fails = spread == 1 ? i % 4 == 0 : f.lastEndpoint() <= 2;
-                    f.outcome(router, now, i, 0, fails ? AttemptOutcome.OVERLOADED : AttemptOutcome.OK);
+                    boolean fails = failuresSpread == 1 ? i % 4 == 0 : caseFixture.lastEndpoint() <= 2;
+                    caseFixture.outcome(router, nowUs, i, 0, fails ? AttemptOutcome.OVERLOADED : AttemptOutcome.OK);
                 }
             }
         }
-        assertTrue(refused[0] < refused[1] / 2, refused[0] + " refused for two bad nodes, " + refused[1]);
+        assertTrue(
+                rejectedCount[0] < rejectedCount[1] / 2,
+                rejectedCount[0] + " rejected with two failing endpoints, with failures at all " + rejectedCount[1]);
     }
 
     @Test
-    void anUnknownClassOrTenantGetsAResponse() {
-        FairRouter router = out.router(Fixture.settings(Idempotency.IDEMPOTENT), 1, Fixture.nodes(3));
-        int[] odd = {-1, 7, Integer.MIN_VALUE, Integer.MAX_VALUE};
-        for (int i = 0; i < odd.length; i++) {
-            RoutingRequest q = Fixture.request(i, 1 + i, S);
-            q.requestClass = odd[i];
-            q.tenant = odd[i];
-            router.onRequest(0, q, out);
+    void sendsRequestsOfUnknownClassOrTenant() {
+        FairRouter router = fixture.router(Fixture.settings(Idempotency.IDEMPOTENT), 1, Fixture.endpoints(3));
+        int[] unknownIndexes = {-1, 7, Integer.MIN_VALUE, Integer.MAX_VALUE};
+        for (int i = 0; i < unknownIndexes.length; i++) {
+            RoutingRequest request = Fixture.request(i, 1 + i, S);
+            request.requestClass = unknownIndexes[i];
+            request.tenant = unknownIndexes[i];
+            router.onRequest(0, request, fixture);
         }
-        assertEquals(odd.length, out.sent.size());
+        assertEquals(unknownIndexes.length, fixture.sent.size());
     }
 
     @Test
-    void logLinesAreRateLimited() {
-        FairRouter router = out.router(Fixture.settings(Idempotency.IDEMPOTENT), 1, Fixture.nodes(8));
-        failMany(router, 60, 0);
-        offer(router, 1000, 200, 0, 2 * S);
-        long lines = out.all.stream()
-                .filter(a -> a.startsWith("log refusing requests: origin chance"))
+    void limitsTheRateOfLogLines() {
+        FairRouter router = fixture.router(Fixture.settings(Idempotency.IDEMPOTENT), 1, Fixture.endpoints(8));
+        failRequests(router, 60, 0);
+        sendRequests(router, 1000, 200, 0, 2 * S);
+        long lineCount = fixture.actions.stream()
+                .filter(action -> action.startsWith("log refusing requests: origin chance"))
                 .count();
-        assertEquals(1, lines, "one line in 20 s however many refusals");
+        assertEquals(1, lineCount, "one log line in 20 s, however many rejections");
     }
 
     @Test
     void equalSeedsGiveEqualActions() {
-        assertEquals(run(5), run(5));
-        assertFalse(run(5).equals(run(6)));
+        assertEquals(actionsOf(5), actionsOf(5));
+        assertFalse(actionsOf(5).equals(actionsOf(6)));
     }
 
-    private static java.util.List<String> run(long seed) {
-        Fixture f = new Fixture();
-        FairRouter router = f.router(Fixture.settings(Idempotency.IDEMPOTENT), seed, Fixture.nodes(9));
+    private static java.util.List<String> actionsOf(long seed) {
+        Fixture caseFixture = new Fixture();
+        FairRouter router = caseFixture.router(Fixture.settings(Idempotency.IDEMPOTENT), seed, Fixture.endpoints(9));
         for (int i = 0; i < 300; i++) {
-            router.onRequest(i * MS, Fixture.request(i, i % 17 == 0 ? 0 : 1 + i % 23, i * MS + S), f);
-            if (f.lastEndpoint() % 3 == 0) {
-                f.outcome(router, i * MS, i, 0, AttemptOutcome.TIMEOUT);
+            router.onRequest(i * MS, Fixture.request(i, i % 17 == 0 ? 0 : 1 + i % 23, i * MS + S), caseFixture);
+            if (caseFixture.lastEndpoint() % 3 == 0) {
+                caseFixture.outcome(router, i * MS, i, 0, AttemptOutcome.TIMEOUT);
             }
         }
-        return f.all;
+        return caseFixture.actions;
     }
 
-    private void failMany(FairRouter router, int count, long from) {
+    private void failRequests(FairRouter router, int count, long fromUs) {
         for (int i = 0; i < count; i++) {
-            long now = from + i * 20 * MS;
-            long id = from + 100_000 + i;
-            router.onRequest(now, Fixture.request(id, 1 + i, now + 600 * MS), out);
-            out.outcome(router, now, id, 0, AttemptOutcome.TIMEOUT);
-            out.outcome(router, now, id, 1, AttemptOutcome.TIMEOUT);
+            long nowUs = fromUs + i * 20 * MS;
+            long id = fromUs + 100_000 + i;
+            router.onRequest(nowUs, Fixture.request(id, 1 + i, nowUs + 600 * MS), fixture);
+            fixture.outcome(router, nowUs, id, 0, AttemptOutcome.TIMEOUT);
+            fixture.outcome(router, nowUs, id, 1, AttemptOutcome.TIMEOUT);
         }
     }
 
-    /** Sends requests at one time and counts those rejected without an attempt. */
-    private int offer(FairRouter router, int firstId, int count, int tenant, long now) {
-        int before = out.rejected.size();
+    /** Sends requests at the same time and returns how many are rejected without an attempt. */
+    private int sendRequests(FairRouter router, int firstId, int count, int tenant, long nowUs) {
+        int rejectedBefore = fixture.rejected.size();
         for (int i = firstId; i < firstId + count; i++) {
-            RoutingRequest q = Fixture.request(i, 1_000_000 + i, now + 600 * MS);
-            q.tenant = tenant;
-            router.onRequest(now, q, out);
+            RoutingRequest request = Fixture.request(i, 1_000_000 + i, nowUs + 600 * MS);
+            request.tenant = tenant;
+            router.onRequest(nowUs, request, fixture);
         }
-        return out.rejected.size() - before;
+        return fixture.rejected.size() - rejectedBefore;
     }
 }
--- a/proxy/src/test/java/cacheproxy/routing/IdempotencyKeyRejectionTest.java
+++ b/proxy/src/test/java/cacheproxy/routing/IdempotencyKeyRejectionTest.java
@@ -7,41 +7,42 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * A rejection invites the client to try again: a request with an idempotency key that may have run must not come back
- * after the endpoints' deduplication window.
+ * A rejection tells the client that a retry is safe. Guards against a second execution: a request with an idempotency
+ * key that may have been executed must not be retried after the endpoints' deduplication window.
  */
 class IdempotencyKeyRejectionTest {
     private static final long MS = Fixture.MS;
     private static final long S = Fixture.S;
 
-    /** The window ends 0.6 s after the send, far before the client's last try. */
+    /** The deduplication window ends 0.6 s after the attempt, long before the client's last possible retry. */
     private static RoutingSettings settings() {
-        RoutingSettings s = Fixture.settings(Idempotency.IDEMPOTENCY_KEY);
-        s.requestClasses[0].deadlineUs = 5 * S;
-        s.requestClasses[0].latencyObjectiveUs = 750 * MS;
-        s.requestClasses[0].deduplicationWindowUs = 600 * MS;
-        s.hedgingAllowed = false;
-        return s;
+        RoutingSettings routerSettings = Fixture.settings(Idempotency.IDEMPOTENCY_KEY);
+        routerSettings.requestClasses[0].deadlineUs = 5 * S;
+        routerSettings.requestClasses[0].latencyObjectiveUs = 750 * MS;
+        routerSettings.requestClasses[0].deduplicationWindowUs = 600 * MS;
+        routerSettings.hedgingAllowed = false;
+        return routerSettings;
     }
 
-    /** One request at time 0 to the only endpoint, whose attempt ends with this outcome. */
-    private static Fixture ended(RoutingSettings s, AttemptOutcome o, long at) {
-        Fixture f = new Fixture();
-        FairRouter router = f.router(s, 1, Fixture.nodes(1));
-        router.onRequest(0, Fixture.request(1, 42, 5 * S), f);
-        assertEquals(1, f.sent.size());
-        f.outcome(router, at, 1, 0, o);
-        assertEquals(1, f.sent.size(), "there is no other node");
-        assertEquals(1, f.rejected.size() + f.failed.size(), "one final answer");
-        return f;
+    /** Sends one request at time 0 to the only endpoint; its attempt ends at this time with this outcome. */
+    private static Fixture afterAttemptEnded(RoutingSettings routerSettings, AttemptOutcome outcome, long endedAtUs) {
+        Fixture fixture = new Fixture();
+        FairRouter router = fixture.router(routerSettings, 1, Fixture.endpoints(1));
+        router.onRequest(0, Fixture.request(1, 42, 5 * S), fixture);
+        assertEquals(1, fixture.sent.size());
+        fixture.outcome(router, endedAtUs, 1, 0, outcome);
+        assertEquals(1, fixture.sent.size(), "there is no other endpoint for a retry");
+        assertEquals(1, fixture.rejected.size() + fixture.failed.size(), "exactly one final response");
+        return fixture;
     }
 
     /** The Retry-After of an otherwise equal idempotent request. */
-    private static List<Long> unbounded(RoutingSettings s, AttemptOutcome o, long at) {
-        Idempotency before = s.requestClasses[0].idempotency;
-        s.requestClasses[0].idempotency = Idempotency.IDEMPOTENT;
-        List<Long> retryAfters = ended(s, o, at).retryAfters;
-        s.requestClasses[0].idempotency = before;
+    private static List<Long> idempotentRetryAfters(
+            RoutingSettings routerSettings, AttemptOutcome outcome, long endedAtUs) {
+        Idempotency idempotency = routerSettings.requestClasses[0].idempotency;
+        routerSettings.requestClasses[0].idempotency = Idempotency.IDEMPOTENT;
+        List<Long> retryAfters = afterAttemptEnded(routerSettings, outcome, endedAtUs).retryAfters;
+        routerSettings.requestClasses[0].idempotency = idempotency;
         assertEquals(1, retryAfters.size());
         return retryAfters;
     }
@@ -50,11 +51,11 @@
             List.of(AttemptOutcome.ERROR, AttemptOutcome.TIMEOUT, AttemptOutcome.RESET);
 
     @Test
-    void afterTheDeduplicationWindowTheRequestFails() {
-        for (AttemptOutcome o : MAY_HAVE_RUN) {
-            for (long at : new long[] {600 * MS, 601 * MS, 1400 * MS, 4 * S}) {
-                Fixture f = ended(settings(), o, at);
-                assertEquals(List.of(1L), f.failed, o + " after " + at + ": " + f.all);
+    void failsRequestAfterItsDeduplicationWindow() {
+        for (AttemptOutcome outcome : MAY_HAVE_RUN) {
+            for (long endedAtUs : new long[] {600 * MS, 601 * MS, 1400 * MS, 4 * S}) {
+                Fixture fixture = afterAttemptEnded(settings(), outcome, endedAtUs);
+                assertEquals(List.of(1L), fixture.failed, outcome + " after " + endedAtUs + ": " + fixture.actions);
             }
         }
     }
@@ -62,142 +63,154 @@
     /** Retry-After is 0.4 s or more where nothing bounds it. */
     @Test
     void retryAfterEndsWithinTheDeduplicationWindow() {
-        for (AttemptOutcome o : MAY_HAVE_RUN) {
-            for (long at = 0; at < 600 * MS; at += 5 * MS) {
-                Fixture f = ended(settings(), o, at);
-                if (f.rejected.size() == 1) {
-                    long advice = f.retryAfters.get(0);
-                    assertTrue(advice > 0, "without advice it comes at any time: after " + at);
-                    assertTrue(at + advice < 600 * MS, "refused after " + at + " for " + advice);
+        for (AttemptOutcome outcome : MAY_HAVE_RUN) {
+            for (long endedAtUs = 0; endedAtUs < 600 * MS; endedAtUs += 5 * MS) {
+                Fixture fixture = afterAttemptEnded(settings(), outcome, endedAtUs);
+                if (fixture.rejected.size() == 1) {
+                    long retryAfterUs = fixture.retryAfters.get(0);
+                    assertTrue(
+                            retryAfterUs > 0,
+                            "without Retry-After the client may retry at any time: after " + endedAtUs);
+                    assertTrue(
+                            endedAtUs + retryAfterUs < 600 * MS,
+                            "rejected after " + endedAtUs + " with Retry-After " + retryAfterUs);
                 }
             }
         }
     }
 
-    /** Clients wait a little longer than Retry-After, and their request takes time to arrive. */
+    /** Clients wait slightly longer than Retry-After, and their request takes time to arrive. */
     @Test
-    void shortlyBeforeTheEndOfTheWindowTheRequestFails() {
-        for (AttemptOutcome o : MAY_HAVE_RUN) {
-            Fixture f = ended(settings(), o, 598 * MS);
-            assertEquals(List.of(1L), f.failed, f.all.toString());
+    void failsRequestShortlyBeforeTheEndOfItsWindow() {
+        for (AttemptOutcome outcome : MAY_HAVE_RUN) {
+            Fixture fixture = afterAttemptEnded(settings(), outcome, 598 * MS);
+            assertEquals(List.of(1L), fixture.failed, fixture.actions.toString());
         }
     }
 
-    /** A failure has no value and clients may give up: while the window allows, the request is rejected. */
+    /** A failed request has no value and the client may give up, so it is rejected while the window allows. */
     @Test
-    void theRequestIsRejectedWhereTheWindowCoversRetryAfter() {
-        Fixture early = ended(settings(), AttemptOutcome.ERROR, 10 * MS);
-        assertEquals(List.of(1L), early.rejected, early.all.toString());
-        Fixture shorter = ended(settings(), AttemptOutcome.ERROR, 300 * MS);
-        assertEquals(List.of(1L), shorter.rejected, "for less than it would be: " + shorter.all);
+    void rejectsRequestWhoseWindowCoversRetryAfter() {
+        Fixture fixtureSoonAfter = afterAttemptEnded(settings(), AttemptOutcome.ERROR, 10 * MS);
+        assertEquals(List.of(1L), fixtureSoonAfter.rejected, fixtureSoonAfter.actions.toString());
+        Fixture fixtureLater = afterAttemptEnded(settings(), AttemptOutcome.ERROR, 300 * MS);
+        assertEquals(List.of(1L), fixtureLater.rejected, "with a shorter Retry-After: " + fixtureLater.actions);
     }
 
-    /** The connection of the next try may take up to this long to open. */
+    /** The connection for the client's retry may take up to the connect timeout to open. */
     @Test
     void retryAfterLeavesTimeToConnect() {
-        RoutingSettings s = settings();
-        s.connectTimeoutUs = 250 * MS;
-        for (long at = 0; at < 600 * MS; at += 5 * MS) {
-            Fixture f = ended(s, AttemptOutcome.ERROR, at);
-            if (f.rejected.size() == 1) {
-                assertTrue(at + f.retryAfters.get(0) + 250 * MS < 600 * MS, "after " + at + ": " + f.all);
+        RoutingSettings routerSettings = settings();
+        routerSettings.connectTimeoutUs = 250 * MS;
+        for (long endedAtUs = 0; endedAtUs < 600 * MS; endedAtUs += 5 * MS) {
+            Fixture fixture = afterAttemptEnded(routerSettings, AttemptOutcome.ERROR, endedAtUs);
+            if (fixture.rejected.size() == 1) {
+                assertTrue(
+                        endedAtUs + fixture.retryAfters.get(0) + 250 * MS < 600 * MS,
+                        "after " + endedAtUs + ": " + fixture.actions);
             }
         }
     }
 
     @Test
-    void aWindowBeyondTheLastClientRetryDoesNotLimitRetryAfter() {
-        RoutingSettings s = settings();
-        s.requestClasses[0].deduplicationWindowUs = 5500 * MS;
-        for (long at : new long[] {10 * MS, 1400 * MS, 4500 * MS, 4900 * MS}) {
-            Fixture f = ended(s, AttemptOutcome.ERROR, at);
-            assertEquals(unbounded(s, AttemptOutcome.ERROR, at), f.retryAfters, f.all.toString());
+    void windowBeyondTheLastClientRetryDoesNotLimitRetryAfter() {
+        RoutingSettings routerSettings = settings();
+        routerSettings.requestClasses[0].deduplicationWindowUs = 5500 * MS;
+        for (long endedAtUs : new long[] {10 * MS, 1400 * MS, 4500 * MS, 4900 * MS}) {
+            Fixture fixture = afterAttemptEnded(routerSettings, AttemptOutcome.ERROR, endedAtUs);
+            assertEquals(
+                    idempotentRetryAfters(routerSettings, AttemptOutcome.ERROR, endedAtUs),
+                    fixture.retryAfters,
+                    fixture.actions.toString());
         }
-        s.retryAfterAllowed = false;
-        Fixture f = ended(s, AttemptOutcome.ERROR, 1400 * MS);
-        assertEquals(List.of(0L), f.retryAfters, f.all.toString());
+        routerSettings.retryAfterAllowed = false;
+        Fixture fixture = afterAttemptEnded(routerSettings, AttemptOutcome.ERROR, 1400 * MS);
+        assertEquals(List.of(0L), fixture.retryAfters, fixture.actions.toString());
     }
 
-    /** Without Retry-After a client may try again at any time up to its last try. */
+    /** Without Retry-After a client may retry at any time until its last retry. */
     @Test
-    void withoutRetryAfterAShortWindowMakesTheRequestFail() {
-        RoutingSettings s = settings();
-        s.retryAfterAllowed = false;
-        for (long at : new long[] {10 * MS, 300 * MS, 1400 * MS}) {
-            Fixture f = ended(s, AttemptOutcome.ERROR, at);
-            assertEquals(List.of(1L), f.failed, "after " + at + ": " + f.all);
+    void failsRequestWithShortWindowWhereRetryAfterIsNotAllowed() {
+        RoutingSettings routerSettings = settings();
+        routerSettings.retryAfterAllowed = false;
+        for (long endedAtUs : new long[] {10 * MS, 300 * MS, 1400 * MS}) {
+            Fixture fixture = afterAttemptEnded(routerSettings, AttemptOutcome.ERROR, endedAtUs);
+            assertEquals(List.of(1L), fixture.failed, "after " + endedAtUs + ": " + fixture.actions);
         }
     }
 
-    /** The window starts with the first attempt that may have run. */
     @Test
-    void theWindowStartsWithTheFirstAttemptThatMayHaveRun() {
-        Fixture f = new Fixture();
-        FairRouter router = f.router(settings(), 1, Fixture.nodes(2));
-        router.onRequest(0, Fixture.request(1, 42, 5 * S), f);
-        f.outcome(router, 400 * MS, 1, 0, AttemptOutcome.ERROR);
-        assertEquals(2, f.sent.size(), "sent again within its window");
-        f.outcome(router, 700 * MS, 1, 1, AttemptOutcome.ERROR);
-        assertEquals(List.of(1L), f.failed, f.all.toString());
+    void windowStartsWithTheFirstAttemptThatMayHaveBeenExecuted() {
+        Fixture fixture = new Fixture();
+        FairRouter router = fixture.router(settings(), 1, Fixture.endpoints(2));
+        router.onRequest(0, Fixture.request(1, 42, 5 * S), fixture);
+        fixture.outcome(router, 400 * MS, 1, 0, AttemptOutcome.ERROR);
+        assertEquals(2, fixture.sent.size(), "retried within its window");
+        fixture.outcome(router, 700 * MS, 1, 1, AttemptOutcome.ERROR);
+        assertEquals(List.of(1L), fixture.failed, fixture.actions.toString());
     }
 
-    /** An attempt that is known not to have run does not start it. */
+    /** An attempt that was certainly not executed does not start the deduplication window. */
     @Test
-    void aRequestThatWasNotExecutedIsRejectedAtAnyTime() {
-        for (AttemptOutcome o : List.of(AttemptOutcome.OVERLOADED, AttemptOutcome.CONNECT_FAILED)) {
-            Fixture f = ended(settings(), o, 1400 * MS);
-            assertEquals(unbounded(settings(), o, 1400 * MS), f.retryAfters, f.all.toString());
+    void rejectsRequestThatWasNotExecutedAtAnyTime() {
+        for (AttemptOutcome outcome : List.of(AttemptOutcome.OVERLOADED, AttemptOutcome.CONNECT_FAILED)) {
+            Fixture fixture = afterAttemptEnded(settings(), outcome, 1400 * MS);
+            assertEquals(
+                    idempotentRetryAfters(settings(), outcome, 1400 * MS),
+                    fixture.retryAfters,
+                    fixture.actions.toString());
         }
-        Fixture f = new Fixture();
-        FairRouter router = f.router(settings(), 1, Fixture.nodes(2));
-        router.onRequest(0, Fixture.request(1, 42, 5 * S), f);
-        f.outcome(router, 1000 * MS, 1, 0, AttemptOutcome.CONNECT_FAILED);
-        assertEquals(2, f.sent.size());
-        f.outcome(router, 1010 * MS, 1, 1, AttemptOutcome.ERROR);
-        assertEquals(List.of(1L), f.rejected, "its window has just begun: " + f.all);
+        Fixture fixture = new Fixture();
+        FairRouter router = fixture.router(settings(), 1, Fixture.endpoints(2));
+        router.onRequest(0, Fixture.request(1, 42, 5 * S), fixture);
+        fixture.outcome(router, 1000 * MS, 1, 0, AttemptOutcome.CONNECT_FAILED);
+        assertEquals(2, fixture.sent.size());
+        fixture.outcome(router, 1010 * MS, 1, 1, AttemptOutcome.ERROR);
+        assertEquals(
+                List.of(1L), fixture.rejected, "its window has only begun with the second attempt: " + fixture.actions);
     }
 
     /** An attempt that is in flight at the deadline may still be executed. */
     @Test
-    void theSameHoldsAtTheDeadline() {
-        Fixture f = new Fixture();
-        FairRouter router = f.router(settings(), 1, Fixture.nodes(1));
-        router.onRequest(0, Fixture.request(1, 42, 1400 * MS), f);
-        f.outcome(router, 1400 * MS, 1, 0, AttemptOutcome.TIMEOUT);
-        assertEquals(List.of(1L), f.failed, f.all.toString());
+    void failsRequestAfterItsWindowWhoseAttemptTimedOutAtTheDeadline() {
+        Fixture fixture = new Fixture();
+        FairRouter router = fixture.router(settings(), 1, Fixture.endpoints(1));
+        router.onRequest(0, Fixture.request(1, 42, 1400 * MS), fixture);
+        fixture.outcome(router, 1400 * MS, 1, 0, AttemptOutcome.TIMEOUT);
+        assertEquals(List.of(1L), fixture.failed, fixture.actions.toString());
     }
 
     /**
      * After a pause of the proxy a connection may open as late as half the drain grace, and the request that waited for
-     * it is sent then, not after the usual connect timeout.
+     * it is only sent then, later than the usual connect timeout.
      */
     @Test
-    void aRejectionAllowsForTheLatestConnect() {
-        RoutingSettings s = settings();
-        s.connectTimeoutUs = 50 * MS;
-        s.drainGraceUs = 500 * MS;
-        RequestClass c = s.requestClasses[0];
-        c.deduplicationWindowUs = c.deadlineUs + 249 * MS;
-        assertEquals(false, c.isDeduplicatedUntilDeadline(s));
-        c.deduplicationWindowUs = c.deadlineUs + 250 * MS;
-        assertEquals(true, c.isDeduplicatedUntilDeadline(s));
-        assertEquals(50 * MS, s.effectiveConnectTimeoutUs());
-        s.drainGraceUs = 0;
-        assertEquals(250 * MS, s.latestConnectUs(), "where no grace is stated");
+    void deduplicationUntilDeadlineAllowsForTheLatestConnect() {
+        RoutingSettings routerSettings = settings();
+        routerSettings.connectTimeoutUs = 50 * MS;
+        routerSettings.drainGraceUs = 500 * MS;
+        RequestClass requestClass = routerSettings.requestClasses[0];
+        requestClass.deduplicationWindowUs = requestClass.deadlineUs + 249 * MS;
+        assertEquals(false, requestClass.isDeduplicatedUntilDeadline(routerSettings));
+        requestClass.deduplicationWindowUs = requestClass.deadlineUs + 250 * MS;
+        assertEquals(true, requestClass.isDeduplicatedUntilDeadline(routerSettings));
+        assertEquals(50 * MS, routerSettings.effectiveConnectTimeoutUs());
+        routerSettings.drainGraceUs = 0;
+        assertEquals(250 * MS, routerSettings.latestConnectUs(), "without a drain grace");
     }
 
-    /** The same for retries: 600 ms less two timer granularities and 250 ms for the connection. */
+    /** A retry may be sent until 600 ms less two timer granularities and 250 ms for the connection. */
     @Test
-    void aRetryAllowsForTheLatestConnect() {
-        RoutingSettings s = settings();
-        s.connectTimeoutUs = 50 * MS;
-        s.drainGraceUs = 500 * MS;
-        for (long at : new long[] {330 * MS, 350 * MS}) {
-            Fixture f = new Fixture();
-            FairRouter router = f.router(s, 1, Fixture.nodes(2));
-            router.onRequest(0, Fixture.request(1, 42, 5 * S), f);
-            f.outcome(router, at, 1, 0, AttemptOutcome.ERROR);
-            assertEquals(at < 340 * MS ? 2 : 1, f.sent.size(), "after " + at + " us");
+    void retriesOnlyWhileTheWindowAllowsForTheLatestConnect() {
+        RoutingSettings routerSettings = settings();
+        routerSettings.connectTimeoutUs = 50 * MS;
+        routerSettings.drainGraceUs = 500 * MS;
+        for (long endedAtUs : new long[] {330 * MS, 350 * MS}) {
+            Fixture fixture = new Fixture();
+            FairRouter router = fixture.router(routerSettings, 1, Fixture.endpoints(2));
+            router.onRequest(0, Fixture.request(1, 42, 5 * S), fixture);
+            fixture.outcome(router, endedAtUs, 1, 0, AttemptOutcome.ERROR);
+            assertEquals(endedAtUs < 340 * MS ? 2 : 1, fixture.sent.size(), "after " + endedAtUs + " us");
         }
     }
 }
--- a/proxy/src/test/java/cacheproxy/routing/ModuleLimitsTest.java
+++ b/proxy/src/test/java/cacheproxy/routing/ModuleLimitsTest.java
@@ -11,7 +11,7 @@
 import java.util.stream.Stream;
 import org.junit.jupiter.api.Test;
 
-/** Limits on the shape of the routing package. */
+/** Limits on the source files of the routing package. */
 class ModuleLimitsTest {
     private static final Path SOURCES = Path.of("src/main/java/cacheproxy/routing");
     private static final int MAX_NON_BLANK_LINES = 400;
@@ -19,8 +19,8 @@
     @Test
     void everyFileHasAtMost400NonBlankLines() throws IOException {
         List<Path> files;
-        try (Stream<Path> all = Files.walk(SOURCES)) {
-            files = all.filter(Files::isRegularFile).toList();
+        try (Stream<Path> paths = Files.walk(SOURCES)) {
+            files = paths.filter(Files::isRegularFile).toList();
         }
         assertTrue(files.contains(SOURCES.resolve("FairRouter.java")), files.toString());
         List<String> tooLong = new ArrayList<>();
@@ -36,7 +36,7 @@
     }
 
     @Test
-    void theClassCommentOfFairRouterNamesItsInterface() throws IOException {
+    void classCommentOfFairRouterLinksToItsInterface() throws IOException {
         String source = Files.readString(SOURCES.resolve("FairRouter.java"));
         int start = source.indexOf("/**");
         int end = source.indexOf("*/", start);
