--- a/proxy/src/test/java/cacheproxy/routing/RandomEventSequencesTest.java
+++ b/proxy/src/test/java/cacheproxy/routing/RandomEventSequencesTest.java
@@ -10,218 +10,243 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Random but legal event sequences, seeded: reordered and late outcomes, endpoints that drain, leave and return, failed
- * list calls, clients that disconnect, restarts, every kind of idempotency. {@link Proxy} plays the caller and asserts
- * the rules that a router can keep alone.
+ * Random but valid event sequences from a seed: reordered and late outcomes, endpoints that drain, disappear and
+ * return, failed list calls, clients that disconnect, restarts, every kind of idempotency. {@link SimulatedProxy} is
+ * the caller of the router and asserts the rules that a router can keep by itself.
  */
 class RandomEventSequencesTest {
     private static final long MS = Fixture.MS;
     private static final long S = Fixture.S;
 
-    private record Attempt(long request, int number, int node, long sentAt, long endsAt) {}
+    private record Attempt(long request, int number, int endpoint, long sentAtUs, long endsAtUs) {}
 
-    private static final class Life {
+    private static final class RequestState {
         RoutingRequest request;
-        RequestClass type;
+        RequestClass requestClass;
         List<Attempt> attempts = new ArrayList<>();
         List<Attempt> mayHaveRun = new ArrayList<>();
-        int out;
+        int inFlightCount;
         boolean concluded;
     }
 
-    private static final class Proxy implements RoutingActions {
-        final SplitMix dice;
+    private static final class SimulatedProxy implements RoutingActions {
+        final TestRandom random;
         final RoutingSettings settings;
         FairRouter router;
-        final Map<Long, Life> lives = new HashMap<>();
-        final List<Attempt> out = new ArrayList<>();
+        final Map<Long, RequestState> requestStates = new HashMap<>();
+        final List<Attempt> inFlight = new ArrayList<>();
         final List<long[]> timers = new ArrayList<>();
-        final Map<Integer, EndpointInfo> nodes = new HashMap<>();
-        long now;
-        int answered;
-        int sends;
-        boolean owesList;
-        long firstOfLife;
-
-        Proxy(long seed, boolean aside) {
-            dice = new SplitMix(seed);
+        final Map<Integer, EndpointInfo> endpoints = new HashMap<>();
+        long nowUs;
+        int respondedCount;
+        int sentCount;
+        boolean listIsDue;
+        long firstRequestOfIncarnation;
+
+        SimulatedProxy(long seed, boolean cacheAside) {
+            random = new TestRandom(seed);
             settings = Fixture.settings(
                     Idempotency.IDEMPOTENT,
                     Idempotency.IDEMPOTENCY_KEY,
                     Idempotency.NOT_IDEMPOTENT,
                     Idempotency.IDEMPOTENCY_KEY);
             settings.requestClasses[3].deduplicationScope =
-                    dice.below(2) == 0 ? DeduplicationScope.ZONE : DeduplicationScope.CELL;
-            settings.requestClasses[0].lateResponseValue = dice.below(2) / 2.0;
-            settings.hedgingAllowed = dice.below(4) > 0;
-            settings.subscribeRequired = dice.below(2) > 0;
-            settings.cacheAside = aside;
-            settings.originKind = aside ? 5 : -1;
+                    random.nextInt(2) == 0 ? DeduplicationScope.ZONE : DeduplicationScope.CELL;
+            settings.requestClasses[0].lateResponseValue = random.nextInt(2) / 2.0;
+            settings.hedgingAllowed = random.nextInt(4) > 0;
+            settings.subscribeRequired = random.nextInt(2) > 0;
+            settings.cacheAside = cacheAside;
+            settings.originKind = cacheAside ? 5 : -1;
             router = new FairRouter(settings, seed, 0, this);
             for (int i = 1; i <= 12; i++) {
-                EndpointInfo n = Fixture.node(i);
-                n.zone = i % 3;
-                n.cell = i % 4;
-                n.kind = aside && i == 12 ? 5 : 0;
-                nodes.put(i, n);
+                EndpointInfo endpointInfo = Fixture.endpoint(i);
+                endpointInfo.zone = i % 3;
+                endpointInfo.cell = i % 4;
+                endpointInfo.kind = cacheAside && i == 12 ? 5 : 0;
+                endpoints.put(i, endpointInfo);
             }
-            list(EndpointListKind.CACHED, nodes.values().toArray(new EndpointInfo[0]));
+            updateEndpoints(EndpointListKind.CACHED, endpoints.values().toArray(new EndpointInfo[0]));
         }
 
-        void list(EndpointListKind kind, EndpointInfo... entries) {
-            router.onEndpointList(now, kind, entries, entries.length, this);
+        void updateEndpoints(EndpointListKind kind, EndpointInfo... entries) {
+            router.onEndpointList(nowUs, kind, entries, entries.length, this);
         }
 
-        void play(int steps) {
+        void run(int steps) {
             for (long id = 0; id < steps; id++) {
-                now += dice.below(20) * MS;
-                settle(now);
-                if (dice.below(8) == 0) {
-                    changeList();
+                nowUs += random.nextInt(20) * MS;
+                endDueAttemptsAndFireTimers(nowUs);
+                if (random.nextInt(8) == 0) {
+                    changeEndpointList();
                 }
-                if (dice.below(100) == 0) {
+                if (random.nextInt(100) == 0) {
                     restart(id);
                 }
-                arrive(id);
-                if (dice.below(30) == 0) {
-                    Life gone = lives.get(firstOfLife + dice.below((int) (id - firstOfLife) + 1));
-                    gone.concluded = true;
-                    router.onClientGone(now, gone.request.id, this);
+                sendRequest(id);
+                if (random.nextInt(30) == 0) {
+                    RequestState disconnected = requestStates.get(
+                            firstRequestOfIncarnation + random.nextInt((int) (id - firstRequestOfIncarnation) + 1));
+                    disconnected.concluded = true;
+                    router.onClientGone(nowUs, disconnected.request.id, this);
                 }
             }
             for (int i = 0; i < 200; i++) {
-                now += 50 * MS;
-                settle(now);
+                nowUs += 50 * MS;
+                endDueAttemptsAndFireTimers(nowUs);
             }
-            for (Life life : lives.values()) {
-                assertTrue(life.concluded, "request " + life.request.id + " was never answered");
+            for (RequestState state : requestStates.values()) {
+                assertTrue(state.concluded, "request " + state.request.id + " got no final response");
             }
         }
 
-        /** The process is killed: its state is lost, and the next incarnation knows only the last list. */
+        /** The process is killed: its state is lost, and the next incarnation has only the last endpoint list. */
         private void restart(long seed) {
-            lives.values().forEach(life -> life.concluded = true);
-            out.clear();
+            requestStates.values().forEach(state -> state.concluded = true);
+            inFlight.clear();
             timers.clear();
-            owesList = false;
-            firstOfLife = seed;
-            router = new FairRouter(settings, seed, now, this);
-            list(EndpointListKind.CACHED, nodes.values().toArray(new EndpointInfo[0]));
+            listIsDue = false;
+            firstRequestOfIncarnation = seed;
+            router = new FairRouter(settings, seed, nowUs, this);
+            updateEndpoints(EndpointListKind.CACHED, endpoints.values().toArray(new EndpointInfo[0]));
         }
 
-        private void arrive(long id) {
-            Life life = new Life();
-            life.request = Fixture.request(id, dice.below(40), now + (100 + dice.below(900)) * MS);
-            life.request.requestClass = dice.below(4);
-            life.request.tenant = dice.below(2);
-            life.request.write = life.request.requestClass > 0 && dice.below(2) == 0;
-            life.type = settings.requestClasses[life.request.requestClass];
-            lives.put(id, life);
-            router.onRequest(now, life.request, this);
+        private void sendRequest(long id) {
+            RequestState state = new RequestState();
+            state.request = Fixture.request(id, random.nextInt(40), nowUs + (100 + random.nextInt(900)) * MS);
+            state.request.requestClass = random.nextInt(4);
+            state.request.tenant = random.nextInt(2);
+            state.request.write = state.request.requestClass > 0 && random.nextInt(2) == 0;
+            state.requestClass = settings.requestClasses[state.request.requestClass];
+            requestStates.put(id, state);
+            router.onRequest(nowUs, state.request, this);
         }
 
-        private void changeList() {
-            EndpointInfo n = nodes.get(1 + dice.below(12));
-            n.state = EndpointState.values()[dice.below(3)];
-            if (n.state == EndpointState.READY) {
-                n.startedUs = dice.below(2) == 0 ? now - dice.below(5) * S : n.startedUs;
+        private void changeEndpointList() {
+            EndpointInfo endpointInfo = endpoints.get(1 + random.nextInt(12));
+            endpointInfo.state = EndpointState.values()[random.nextInt(3)];
+            if (endpointInfo.state == EndpointState.READY) {
+                endpointInfo.startedUs =
+                        random.nextInt(2) == 0 ? nowUs - random.nextInt(5) * S : endpointInfo.startedUs;
             }
-            if (dice.below(4) == 0) {
-                list(EndpointListKind.FULL, nodes.values().toArray(new EndpointInfo[0]));
+            if (random.nextInt(4) == 0) {
+                updateEndpoints(EndpointListKind.FULL, endpoints.values().toArray(new EndpointInfo[0]));
             } else {
-                list(EndpointListKind.DELTA, n);
+                updateEndpoints(EndpointListKind.DELTA, endpointInfo);
             }
-            if (owesList) {
-                owesList = false;
-                list(EndpointListKind.FAILED);
+            if (listIsDue) {
+                listIsDue = false;
+                updateEndpoints(EndpointListKind.FAILED);
             }
         }
 
-        /** Ends due attempts in random order, then fires timers; includes outcomes of concluded requests. */
-        private void settle(long until) {
-            for (int guard = 0; guard < 10_000; guard++) {
-                List<Attempt> due = out.stream().filter(a -> a.endsAt <= until).toList();
-                if (due.isEmpty()) {
+        /** Ends due attempts in random order, also those of concluded requests, then fires due timers. */
+        private void endDueAttemptsAndFireTimers(long untilUs) {
+            for (int iteration = 0; iteration < 10_000; iteration++) {
+                List<Attempt> dueAttempts = inFlight.stream()
+                        .filter(sentAttempt -> sentAttempt.endsAtUs <= untilUs)
+                        .toList();
+                if (dueAttempts.isEmpty()) {
                     break;
                 }
-                end(due.get(dice.below(due.size())));
+                endAttempt(dueAttempts.get(random.nextInt(dueAttempts.size())));
             }
-            List<long[]> fire = timers.stream().filter(t -> t[0] <= until).toList();
-            timers.removeAll(fire);
-            fire.forEach(t -> router.onTimer(until, t[1], this));
+            List<long[]> dueTimers = timers.stream().filter(timer -> timer[0] <= untilUs).toList();
+            timers.removeAll(dueTimers);
+            dueTimers.forEach(timer -> router.onTimer(untilUs, timer[1], this));
         }
 
-        private void end(Attempt a) {
-            out.remove(a);
-            Life life = lives.get(a.request);
-            life.out--;
-            boolean timedOut = a.endsAt >= life.request.deadlineAtUs;
-            AttemptOutcome o = timedOut
+        private void endAttempt(Attempt sentAttempt) {
+            inFlight.remove(sentAttempt);
+            RequestState state = requestStates.get(sentAttempt.request);
+            state.inFlightCount--;
+            boolean timedOut = sentAttempt.endsAtUs >= state.request.deadlineAtUs;
+            AttemptOutcome outcome = timedOut
                     ? AttemptOutcome.TIMEOUT
-                    : dice.below(3) > 0 ? AttemptOutcome.OK : AttemptOutcome.values()[dice.below(9)];
-            if (o.provesNotExecuted) {
-                life.mayHaveRun.remove(a);
+                    : random.nextInt(3) > 0 ? AttemptOutcome.OK : AttemptOutcome.values()[random.nextInt(9)];
+            if (outcome.provesNotExecuted) {
+                state.mayHaveRun.remove(sentAttempt);
             }
-            life.concluded |= o == AttemptOutcome.OK;
-            CacheResult note = CacheResult.values()[dice.below(4)];
-            router.onOutcome(now, a.request, a.number, o, now - a.sentAt, life.concluded, note, new LoadReport(), this);
-            if (timedOut && life.out == 0) {
-                assertTrue(life.concluded, "no answer at the due time of request " + a.request);
+            state.concluded |= outcome == AttemptOutcome.OK;
+            CacheResult cacheResult = CacheResult.values()[random.nextInt(4)];
+            router.onOutcome(
+                    nowUs,
+                    sentAttempt.request,
+                    sentAttempt.number,
+                    outcome,
+                    nowUs - sentAttempt.sentAtUs,
+                    state.concluded,
+                    cacheResult,
+                    new LoadReport(),
+                    this);
+            if (timedOut && state.inFlightCount == 0) {
+                assertTrue(state.concluded, "no final response at the deadline of request " + sentAttempt.request);
             }
         }
 
         @Override
-        public void sendAttempt(long request, int node, long timeoutUs) {
-            Life life = lives.get(request);
-            sends++;
-            assertTrue(request >= firstOfLife, "nothing of a former life is acted on");
-            assertTrue(!life.concluded, "nothing is sent after the end");
-            assertTrue(now < life.request.deadlineAtUs, "nothing is sent when the client has given up");
-            assertEquals(EndpointState.READY, nodes.get(node).state, "drains are kept");
-            assertTrue(life.attempts.size() < settings.maxAttempts, "attempts are limited");
-            assertTrue(life.out == 0 || settings.hedgingAllowed, "second copies only where allowed");
-            if (settings.cacheAside && nodes.get(node).kind != 5) {
-                assertTrue(!life.request.write, "aside writes go to the origin");
+        public void sendAttempt(long request, int endpoint, long timeoutUs) {
+            RequestState state = requestStates.get(request);
+            sentCount++;
+            assertTrue(request >= firstRequestOfIncarnation, "the router acts only on requests of this incarnation");
+            assertTrue(!state.concluded, "nothing is sent after the final response");
+            assertTrue(nowUs < state.request.deadlineAtUs, "nothing is sent at or after the deadline");
+            assertEquals(EndpointState.READY, endpoints.get(endpoint).state, "only ready endpoints are sent attempts");
+            assertTrue(state.attempts.size() < settings.maxAttempts, "attempts are limited");
+            assertTrue(state.inFlightCount == 0 || settings.hedgingAllowed, "hedged requests only where allowed");
+            if (settings.cacheAside && endpoints.get(endpoint).kind != 5) {
+                assertTrue(!state.request.write, "cache-aside writes are sent to the origin");
             }
-            if (!life.mayHaveRun.isEmpty() && life.type.idempotency != Idempotency.IDEMPOTENT) {
-                assertEquals(Idempotency.IDEMPOTENCY_KEY, life.type.idempotency, "an unsafe request that may have run");
-                Attempt first = life.mayHaveRun.get(0);
-                assertTrue(now - first.sentAt < life.type.deduplicationWindowUs, "within the window");
-                EndpointInfo ran = nodes.get(first.node);
-                EndpointInfo next = nodes.get(node);
+            if (!state.mayHaveRun.isEmpty() && state.requestClass.idempotency != Idempotency.IDEMPOTENT) {
+                assertEquals(
+                        Idempotency.IDEMPOTENCY_KEY,
+                        state.requestClass.idempotency,
+                        "a request that may have been executed is retried only with an idempotency key");
+                Attempt first = state.mayHaveRun.get(0);
                 assertTrue(
-                        life.type.deduplicationScope == DeduplicationScope.ALL
-                                || life.type.deduplicationScope == DeduplicationScope.ZONE && ran.zone == next.zone
-                                || life.type.deduplicationScope == DeduplicationScope.CELL && ran.cell == next.cell,
-                        "within the group");
+                        nowUs - first.sentAtUs < state.requestClass.deduplicationWindowUs,
+                        "within the deduplication window");
+                EndpointInfo executor = endpoints.get(first.endpoint);
+                EndpointInfo selected = endpoints.get(endpoint);
+                assertTrue(
+                        state.requestClass.deduplicationScope == DeduplicationScope.ALL
+                                || state.requestClass.deduplicationScope == DeduplicationScope.ZONE
+                                        && executor.zone == selected.zone
+                                || state.requestClass.deduplicationScope == DeduplicationScope.CELL
+                                        && executor.cell == selected.cell,
+                        "within the deduplication scope");
             }
-            long limit =
-                    timeoutUs > 0 ? Math.min(now + timeoutUs, life.request.deadlineAtUs) : life.request.deadlineAtUs;
-            long endsAt = dice.below(12) == 0 ? limit : Math.min(limit, now + dice.below(300) * MS);
-            Attempt a = new Attempt(request, life.attempts.size(), node, now, endsAt);
-            life.attempts.add(a);
-            life.mayHaveRun.add(a);
-            life.out++;
-            out.add(a);
+            long latestEndUs = timeoutUs > 0
+                    ? Math.min(nowUs + timeoutUs, state.request.deadlineAtUs)
+                    : state.request.deadlineAtUs;
+            long endsAtUs = random.nextInt(12) == 0
+                    ? latestEndUs
+                    : Math.min(latestEndUs, nowUs + random.nextInt(300) * MS);
+            Attempt sentAttempt = new Attempt(request, state.attempts.size(), endpoint, nowUs, endsAtUs);
+            state.attempts.add(sentAttempt);
+            state.mayHaveRun.add(sentAttempt);
+            state.inFlightCount++;
+            inFlight.add(sentAttempt);
         }
 
         private void conclude(long request) {
-            Life life = lives.get(request);
-            assertTrue(!life.concluded, "one final answer only");
-            assertTrue(now <= life.request.deadlineAtUs + 70 * MS, "in time, but for this caller's own steps");
-            life.concluded = true;
-            answered++;
+            RequestState state = requestStates.get(request);
+            assertTrue(!state.concluded, "exactly one final response");
+            assertTrue(
+                    nowUs <= state.request.deadlineAtUs + 70 * MS,
+                    "in time, except for the delay by this caller's own steps");
+            state.concluded = true;
+            respondedCount++;
         }
 
         @Override
         public void reject(long request, long retryAfterUs) {
-            Life life = lives.get(request);
+            RequestState state = requestStates.get(request);
             assertTrue(
-                    life.mayHaveRun.isEmpty()
-                            || life.type.idempotency == Idempotency.IDEMPOTENT
-                            || life.type.idempotency == Idempotency.IDEMPOTENCY_KEY
-                                    && life.type.deduplicationScope == DeduplicationScope.ALL,
-                    "a refusal promises that a further try is harmless");
+                    state.mayHaveRun.isEmpty()
+                            || state.requestClass.idempotency == Idempotency.IDEMPOTENT
+                            || state.requestClass.idempotency == Idempotency.IDEMPOTENCY_KEY
+                                    && state.requestClass.deduplicationScope == DeduplicationScope.ALL,
+                    "a rejection promises that a retry is safe");
             assertTrue(retryAfterUs <= settings.maxRetryAfterUs);
             conclude(request);
         }
@@ -233,38 +258,40 @@
 
         @Override
         public void cancelAttempt(long request, int attempt) {
-            assertTrue(attempt < lives.get(request).attempts.size(), "only attempts made can be cancelled");
+            assertTrue(
+                    attempt < requestStates.get(request).attempts.size(),
+                    "only attempts that were sent can be cancelled");
         }
 
         @Override
         public void startTimer(long delayUs, long label) {
             assertTrue(delayUs >= 0);
-            timers.add(new long[] {now + delayUs, label});
+            timers.add(new long[] {nowUs + delayUs, label});
         }
 
         @Override
-        public void checkHealth(int node) {
-            throw new AssertionError("this build sends no probes");
+        public void checkHealth(int endpoint) {
+            throw new AssertionError("this router requests no health checks");
         }
 
         @Override
-        public void closeIdleConnections(int node) {
-            assertTrue(nodes.containsKey(node));
+        public void closeIdleConnections(int endpoint) {
+            assertTrue(endpoints.containsKey(endpoint));
         }
 
         @Override
         public void subscribeToEndpoints() {
-            owesList = true;
+            listIsDue = true;
         }
 
         @Override
         public void fetchEndpoints() {
-            throw new AssertionError("this build fetches no list");
+            throw new AssertionError("this router fetches no endpoint list");
         }
 
         @Override
         public void sendGossip(int router, byte[] data) {
-            throw new AssertionError("this build sends no messages");
+            throw new AssertionError("this router sends no gossip");
         }
 
         @Override
@@ -273,40 +300,42 @@
         }
     }
 
-    /** The test's own generator, independent of the router's. */
-    private static final class SplitMix {
+    /** The test's own random number generator, independent of the router's. */
+    private static final class TestRandom {
         private long state;
 
-        SplitMix(long seed) {
+        TestRandom(long seed) {
             state = seed * 0x632be59bd9b4e019L + 1;
         }
 
-        int below(int n) {
+        int nextInt(int bound) {
             state += 0x9e3779b97f4a7c15L;
-            long z = (state ^ state >>> 30) * 0xbf58476d1ce4e5b9L;
-            return (int) Long.remainderUnsigned(z ^ z >>> 27, n);
+            long mixed = (state ^ state >>> 30) * 0xbf58476d1ce4e5b9L;
+            return (int) Long.remainderUnsigned(mixed ^ mixed >>> 27, bound);
         }
     }
 
     @Test
-    void theRulesHoldWhereNodesFetchForThemselves() {
-        playAll(false);
+    void keepsRulesWhereEndpointsFetchForThemselves() {
+        runAllSeeds(false);
     }
 
     @Test
-    void theRulesHoldInAsideMode() {
-        playAll(true);
+    void keepsRulesInCacheAsideMode() {
+        runAllSeeds(true);
     }
 
-    private static void playAll(boolean aside) {
-        int answered = 0;
-        int sends = 0;
+    private static void runAllSeeds(boolean cacheAside) {
+        int respondedCount = 0;
+        int sentCount = 0;
         for (long seed = 1; seed <= 60; seed++) {
-            Proxy proxy = new Proxy(seed, aside);
-            proxy.play(300);
-            answered += proxy.answered;
-            sends += proxy.sends;
+            SimulatedProxy proxy = new SimulatedProxy(seed, cacheAside);
+            proxy.run(300);
+            respondedCount += proxy.respondedCount;
+            sentCount += proxy.sentCount;
         }
-        assertTrue(answered > 1000 && sends > 3000, "the run must have met the rules: " + answered + ", " + sends);
+        assertTrue(
+                respondedCount > 1000 && sentCount > 3000,
+                "enough final responses and attempts to check the rules: " + respondedCount + ", " + sentCount);
     }
 }
--- a/proxy/src/test/java/cacheproxy/routing/RoutingRulesTest.java
+++ b/proxy/src/test/java/cacheproxy/routing/RoutingRulesTest.java
@@ -6,333 +6,353 @@
 
 import org.junit.jupiter.api.Test;
 
-/** The rules on retries, deadlines, draining and slow start, for each kind of idempotency. */
+/** The rules for retries, deadlines, draining, slow start and cache-aside, for each kind of idempotency. */
 class RoutingRulesTest {
     private static final long MS = Fixture.MS;
     private static final long S = Fixture.S;
-    private final Fixture out = new Fixture();
+    private final Fixture fixture = new Fixture();
 
-    private FairRouter with(Idempotency effect) {
-        return out.router(Fixture.settings(effect), 1, Fixture.nodes(6));
+    private FairRouter routerFor(Idempotency idempotency) {
+        return fixture.router(Fixture.settings(idempotency), 1, Fixture.endpoints(6));
     }
 
-    /** Successes that earn the budget for hedged requests, all before time 0. */
-    private FairRouter earning(FairRouter router) {
+    /** Reports successes at time 0 that fill the retry budget, which hedged requests need. */
+    private FairRouter withFilledRetryBudget(FairRouter router) {
         for (long id = 1000; id < 1100; id++) {
-            router.onRequest(0, Fixture.request(id, id, 600 * MS), out);
-            out.outcome(router, 0, id, 0, AttemptOutcome.OK);
+            router.onRequest(0, Fixture.request(id, id, 600 * MS), fixture);
+            fixture.outcome(router, 0, id, 0, AttemptOutcome.OK);
         }
-        out.sent.clear();
-        out.timers.clear();
+        fixture.sent.clear();
+        fixture.timers.clear();
         return router;
     }
 
-    private void request(FairRouter router) {
-        router.onRequest(0, Fixture.request(1, 42, 600 * MS), out);
-        assertEquals(1, out.sent.size());
+    private void sendOneRequest(FairRouter router) {
+        router.onRequest(0, Fixture.request(1, 42, 600 * MS), fixture);
+        assertEquals(1, fixture.sent.size());
     }
 
     @Test
-    void anIdempotentRequestIsRetriedAfterAnError() {
-        FairRouter router = with(Idempotency.IDEMPOTENT);
-        request(router);
-        out.outcome(router, MS, 1, 0, AttemptOutcome.ERROR);
-        assertEquals(2, out.sent.size());
-        assertNotEquals(out.sent.get(0).node(), out.sent.get(1).node());
+    void retriesIdempotentRequestAfterError() {
+        FairRouter router = routerFor(Idempotency.IDEMPOTENT);
+        sendOneRequest(router);
+        fixture.outcome(router, MS, 1, 0, AttemptOutcome.ERROR);
+        assertEquals(2, fixture.sent.size());
+        assertNotEquals(fixture.sent.get(0).endpoint(), fixture.sent.get(1).endpoint());
     }
 
     @Test
-    void aNonIdempotentRequestThatMayHaveRunFails() {
-        for (AttemptOutcome o : new AttemptOutcome[] {
+    void failsNonIdempotentRequestThatMayHaveBeenExecuted() {
+        for (AttemptOutcome outcome : new AttemptOutcome[] {
             AttemptOutcome.ERROR, AttemptOutcome.TIMEOUT, AttemptOutcome.RESET, AttemptOutcome.CANCELLED
         }) {
-            Fixture f = new Fixture();
-            FairRouter router = f.router(Fixture.settings(Idempotency.NOT_IDEMPOTENT), 1, Fixture.nodes(6));
-            router.onRequest(0, Fixture.request(1, 42, 600 * MS), f);
-            f.fire(router, 150 * MS);
-            f.outcome(router, 200 * MS, 1, 0, o);
-            assertEquals(1, f.sent.size(), o + " is not resent");
-            assertEquals(1, f.failed.size(), o + " is failed");
-            assertEquals(0, f.rejected.size(), o + " is not refused");
+            Fixture caseFixture = new Fixture();
+            FairRouter router = caseFixture.router(
+                    Fixture.settings(Idempotency.NOT_IDEMPOTENT), 1, Fixture.endpoints(6));
+            router.onRequest(0, Fixture.request(1, 42, 600 * MS), caseFixture);
+            caseFixture.fireTimers(router, 150 * MS);
+            caseFixture.outcome(router, 200 * MS, 1, 0, outcome);
+            assertEquals(1, caseFixture.sent.size(), outcome + " is not retried");
+            assertEquals(1, caseFixture.failed.size(), outcome + " fails the request");
+            assertEquals(0, caseFixture.rejected.size(), outcome + " does not reject the request");
         }
     }
 
     @Test
-    void aNonIdempotentRequestThatWasNotExecutedIsRetried() {
-        FairRouter router = with(Idempotency.NOT_IDEMPOTENT);
-        request(router);
-        out.outcome(router, MS, 1, 0, AttemptOutcome.OVERLOADED);
-        assertEquals(2, out.sent.size());
-        out.outcome(router, 2 * MS, 1, 1, AttemptOutcome.CONNECT_FAILED);
-        assertEquals(1, out.rejected.size() + out.sent.size() - 2, "never ran: resent again or refused");
+    void retriesNonIdempotentRequestThatWasNotExecuted() {
+        FairRouter router = routerFor(Idempotency.NOT_IDEMPOTENT);
+        sendOneRequest(router);
+        fixture.outcome(router, MS, 1, 0, AttemptOutcome.OVERLOADED);
+        assertEquals(2, fixture.sent.size());
+        fixture.outcome(router, 2 * MS, 1, 1, AttemptOutcome.CONNECT_FAILED);
+        assertEquals(1, fixture.rejected.size() + fixture.sent.size() - 2, "not executed: retried again or rejected");
     }
 
     @Test
-    void aRequestWithAnIdempotencyKeyIsRetriedWithinItsWindowOnly() {
-        FairRouter router = with(Idempotency.IDEMPOTENCY_KEY);
-        router.onRequest(0, Fixture.request(1, 42, 10 * S), out);
-        out.outcome(router, 500 * MS, 1, 0, AttemptOutcome.ERROR);
-        assertEquals(2, out.sent.size());
-        Fixture late = new Fixture();
-        FairRouter q = late.router(Fixture.settings(Idempotency.IDEMPOTENCY_KEY), 1, Fixture.nodes(6));
-        q.onRequest(0, Fixture.request(1, 42, 10 * S), late);
-        late.outcome(q, 2 * S - 5 * MS, 1, 0, AttemptOutcome.ERROR);
-        assertEquals(1, late.sent.size(), "its window of 2 s is as good as over");
+    void retriesRequestWithIdempotencyKeyOnlyWithinItsWindow() {
+        FairRouter router = routerFor(Idempotency.IDEMPOTENCY_KEY);
+        router.onRequest(0, Fixture.request(1, 42, 10 * S), fixture);
+        fixture.outcome(router, 500 * MS, 1, 0, AttemptOutcome.ERROR);
+        assertEquals(2, fixture.sent.size());
+        Fixture lateFixture = new Fixture();
+        FairRouter lateRouter = lateFixture.router(
+                Fixture.settings(Idempotency.IDEMPOTENCY_KEY), 1, Fixture.endpoints(6));
+        lateRouter.onRequest(0, Fixture.request(1, 42, 10 * S), lateFixture);
+        lateFixture.outcome(lateRouter, 2 * S - 5 * MS, 1, 0, AttemptOutcome.ERROR);
+        assertEquals(1, lateFixture.sent.size(), "less than two timer granularities of its window of 2 s are left");
     }
 
     @Test
-    void aRetryLeavesTimeToConnectWithinTheWindow() {
-        for (boolean slow : new boolean[] {false, true}) {
-            RoutingSettings s = Fixture.settings(Idempotency.IDEMPOTENCY_KEY);
-            s.connectTimeoutUs = slow ? 250 * MS : 0;
-            Fixture f = new Fixture();
-            FairRouter router = f.router(s, 1, Fixture.nodes(6));
-            router.onRequest(0, Fixture.request(1, 42, 10 * S), f);
-            f.outcome(router, 2 * S - 200 * MS, 1, 0, AttemptOutcome.ERROR);
-            assertEquals(slow ? 1 : 2, f.sent.size());
+    void retriesOnlyWhileTheWindowLeavesTimeToConnect() {
+        for (boolean connectIsSlow : new boolean[] {false, true}) {
+            RoutingSettings settings = Fixture.settings(Idempotency.IDEMPOTENCY_KEY);
+            settings.connectTimeoutUs = connectIsSlow ? 250 * MS : 0;
+            Fixture caseFixture = new Fixture();
+            FairRouter router = caseFixture.router(settings, 1, Fixture.endpoints(6));
+            router.onRequest(0, Fixture.request(1, 42, 10 * S), caseFixture);
+            caseFixture.outcome(router, 2 * S - 200 * MS, 1, 0, AttemptOutcome.ERROR);
+            assertEquals(connectIsSlow ? 1 : 2, caseFixture.sent.size());
         }
     }
 
     @Test
     void zoneScopedDeduplicationKeepsRetriesInTheZone() {
-        RoutingSettings s = Fixture.settings(Idempotency.IDEMPOTENCY_KEY);
-        s.requestClasses[0].deduplicationScope = DeduplicationScope.ZONE;
-        EndpointInfo[] nodes = Fixture.nodes(12);
-        for (EndpointInfo n : nodes) {
-            n.zone = n.id % 3;
+        RoutingSettings settings = Fixture.settings(Idempotency.IDEMPOTENCY_KEY);
+        settings.requestClasses[0].deduplicationScope = DeduplicationScope.ZONE;
+        EndpointInfo[] endpoints = Fixture.endpoints(12);
+        for (EndpointInfo endpoint : endpoints) {
+            endpoint.zone = endpoint.id % 3;
         }
         for (int key = 1; key < 40; key++) {
-            Fixture f = new Fixture();
-            FairRouter router = f.router(s, key, nodes);
-            router.onRequest(0, Fixture.request(1, key, 600 * MS), f);
-            f.outcome(router, MS, 1, 0, AttemptOutcome.RESET);
-            for (int i = 1; i < f.sent.size(); i++) {
-                assertEquals(f.sent.get(0).node() % 3, f.sent.get(i).node() % 3);
-                f.outcome(router, (i + 1) * MS, 1, i, AttemptOutcome.RESET);
+            Fixture caseFixture = new Fixture();
+            FairRouter router = caseFixture.router(settings, key, endpoints);
+            router.onRequest(0, Fixture.request(1, key, 600 * MS), caseFixture);
+            caseFixture.outcome(router, MS, 1, 0, AttemptOutcome.RESET);
+            for (int i = 1; i < caseFixture.sent.size(); i++) {
+                assertEquals(caseFixture.sent.get(0).endpoint() % 3, caseFixture.sent.get(i).endpoint() % 3);
+                caseFixture.outcome(router, (i + 1) * MS, 1, i, AttemptOutcome.RESET);
             }
-            assertEquals(0, f.rejected.size());
-            assertEquals(1, f.failed.size());
+            assertEquals(0, caseFixture.rejected.size());
+            assertEquals(1, caseFixture.failed.size());
         }
     }
 
     @Test
-    void everyRequestGetsAResponseAfterItsLastTimeOut() {
-        for (Idempotency effect : Idempotency.values()) {
-            Fixture f = new Fixture();
-            FairRouter router = f.router(Fixture.settings(effect), 1, Fixture.nodes(6));
-            router.onRequest(0, Fixture.request(1, 42, 600 * MS), f);
-            f.outcome(router, 600 * MS, 1, 0, AttemptOutcome.TIMEOUT);
-            assertEquals(1, f.rejected.size() + f.failed.size(), effect + " gets one final answer");
-            assertEquals(1, f.sent.size(), effect + " is not sent at its due time");
+    void respondsToEveryRequestAfterItsLastTimeout() {
+        for (Idempotency idempotency : Idempotency.values()) {
+            Fixture caseFixture = new Fixture();
+            FairRouter router = caseFixture.router(Fixture.settings(idempotency), 1, Fixture.endpoints(6));
+            router.onRequest(0, Fixture.request(1, 42, 600 * MS), caseFixture);
+            caseFixture.outcome(router, 600 * MS, 1, 0, AttemptOutcome.TIMEOUT);
+            assertEquals(
+                    1,
+                    caseFixture.rejected.size() + caseFixture.failed.size(),
+                    idempotency + " gets exactly one final response");
+            assertEquals(1, caseFixture.sent.size(), idempotency + " is not retried at its deadline");
         }
     }
 
     @Test
-    void theRequestsDeadlineAppliesNotTheClassDeadline() {
-        FairRouter router = earning(with(Idempotency.IDEMPOTENT));
-        router.onRequest(0, Fixture.request(1, 42, 100 * MS), out);
-        assertEquals(0, out.sent.get(0).timeoutUs(), "until the client gives up");
-        out.fire(router, 100 * MS);
-        assertEquals(1, out.sent.size(), "no second copy at or after the due time");
+    void appliesTheRequestsDeadlineNotThatOfTheClass() {
+        FairRouter router = withFilledRetryBudget(routerFor(Idempotency.IDEMPOTENT));
+        router.onRequest(0, Fixture.request(1, 42, 100 * MS), fixture);
+        assertEquals(0, fixture.sent.get(0).timeoutUs(), "no timeout before the deadline");
+        fixture.fireTimers(router, 100 * MS);
+        assertEquals(1, fixture.sent.size(), "no hedged request at or after the deadline");
     }
 
     @Test
     void attemptsEndBeforeTheObjectiveWhereLateResponsesHaveNoValue() {
-        RoutingSettings s = Fixture.settings(Idempotency.IDEMPOTENT);
-        s.requestClasses[0].lateResponseValue = 0;
-        FairRouter router = out.router(s, 1, Fixture.nodes(6));
-        router.onRequest(0, Fixture.request(1, 42, 600 * MS), out);
-        assertEquals(290 * MS, out.sent.get(0).timeoutUs());
+        RoutingSettings settings = Fixture.settings(Idempotency.IDEMPOTENT);
+        settings.requestClasses[0].lateResponseValue = 0;
+        FairRouter router = fixture.router(settings, 1, Fixture.endpoints(6));
+        router.onRequest(0, Fixture.request(1, 42, 600 * MS), fixture);
+        assertEquals(290 * MS, fixture.sent.get(0).timeoutUs());
     }
 
     @Test
-    void nothingIsSentAfterTheResponse() {
-        FairRouter router = earning(with(Idempotency.IDEMPOTENT));
-        request(router);
-        router.onClientGone(MS, 1, out);
-        assertEquals("1/0", out.cancelled.get(0));
-        out.fire(router, 100 * MS);
-        out.outcome(router, 200 * MS, 1, 0, AttemptOutcome.CANCELLED);
-        out.outcome(router, 200 * MS, 1, 0, AttemptOutcome.ERROR);
-        assertEquals(1, out.sent.size());
-        assertEquals(0, out.rejected.size() + out.failed.size());
+    void sendsNothingAfterTheClientIsGone() {
+        FairRouter router = withFilledRetryBudget(routerFor(Idempotency.IDEMPOTENT));
+        sendOneRequest(router);
+        router.onClientGone(MS, 1, fixture);
+        assertEquals("1/0", fixture.cancelled.get(0));
+        fixture.fireTimers(router, 100 * MS);
+        fixture.outcome(router, 200 * MS, 1, 0, AttemptOutcome.CANCELLED);
+        fixture.outcome(router, 200 * MS, 1, 0, AttemptOutcome.ERROR);
+        assertEquals(1, fixture.sent.size());
+        assertEquals(0, fixture.rejected.size() + fixture.failed.size());
     }
 
     @Test
-    void theFirstResponseCancelsTheHedgedRequest() {
-        FairRouter router = earning(with(Idempotency.IDEMPOTENT));
-        request(router);
-        out.fire(router, 150 * MS);
-        assertEquals(2, out.sent.size());
-        out.outcome(router, 160 * MS, 1, 1, AttemptOutcome.OK);
-        assertEquals("1/0", out.cancelled.get(0));
+    void firstResponseCancelsTheOtherAttempt() {
+        FairRouter router = withFilledRetryBudget(routerFor(Idempotency.IDEMPOTENT));
+        sendOneRequest(router);
+        fixture.fireTimers(router, 150 * MS);
+        assertEquals(2, fixture.sent.size());
+        fixture.outcome(router, 160 * MS, 1, 1, AttemptOutcome.OK);
+        assertEquals("1/0", fixture.cancelled.get(0));
     }
 
     @Test
-    void noHedgedRequestWhereHedgingIsNotAllowed() {
-        RoutingSettings s = Fixture.settings(Idempotency.IDEMPOTENT);
-        s.hedgingAllowed = false;
-        FairRouter router = earning(out.router(s, 1, Fixture.nodes(6)));
-        request(router);
-        out.fire(router, 150 * MS);
-        assertEquals(1, out.sent.size());
+    void sendsNoHedgedRequestWhereHedgingIsNotAllowed() {
+        RoutingSettings settings = Fixture.settings(Idempotency.IDEMPOTENT);
+        settings.hedgingAllowed = false;
+        FairRouter router = withFilledRetryBudget(fixture.router(settings, 1, Fixture.endpoints(6)));
+        sendOneRequest(router);
+        fixture.fireTimers(router, 150 * MS);
+        assertEquals(1, fixture.sent.size());
     }
 
     @Test
-    void nothingIsDecidedAfterAStreamStarted() {
-        FairRouter router = earning(with(Idempotency.IDEMPOTENT));
-        request(router);
-        router.onStreamStarted(MS, 1, 0, out);
-        out.fire(router, 150 * MS);
-        assertEquals(1, out.sent.size());
-        router.onOutcome(900 * MS, 1, 0, AttemptOutcome.RESET, 900 * MS, true, CacheResult.NONE, new LoadReport(), out);
-        assertEquals(0, out.rejected.size() + out.failed.size());
+    void takesNoActionAfterStreamStarted() {
+        FairRouter router = withFilledRetryBudget(routerFor(Idempotency.IDEMPOTENT));
+        sendOneRequest(router);
+        router.onStreamStarted(MS, 1, 0, fixture);
+        fixture.fireTimers(router, 150 * MS);
+        assertEquals(1, fixture.sent.size());
+        router.onOutcome(
+                900 * MS, 1, 0, AttemptOutcome.RESET, 900 * MS, true, CacheResult.NONE, new LoadReport(), fixture);
+        assertEquals(0, fixture.rejected.size() + fixture.failed.size());
     }
 
     @Test
-    void drainingAndGoneEndpointsGetNoNewRequests() {
-        FairRouter router = with(Idempotency.IDEMPOTENT);
-        EndpointInfo[] changes = {Fixture.node(1), Fixture.node(2)};
+    void sendsNoNewRequestsToDrainingOrGoneEndpoints() {
+        FairRouter router = routerFor(Idempotency.IDEMPOTENT);
+        EndpointInfo[] changes = {Fixture.endpoint(1), Fixture.endpoint(2)};
         changes[0].state = EndpointState.DRAINING;
         changes[1].state = EndpointState.GONE;
-        router.onEndpointList(0, EndpointListKind.DELTA, changes, 2, out);
+        router.onEndpointList(0, EndpointListKind.DELTA, changes, 2, fixture);
         for (int i = 0; i < 200; i++) {
-            router.onRequest(i, Fixture.request(i, 1 + i, S), out);
-            assertTrue(out.lastEndpoint() > 2);
+            router.onRequest(i, Fixture.request(i, 1 + i, S), fixture);
+            assertTrue(fixture.lastEndpoint() > 2);
         }
-        router.onEndpointList(0, EndpointListKind.FULL, new EndpointInfo[] {Fixture.node(6)}, 1, out);
-        router.onRequest(S, Fixture.request(900, 9, 2 * S), out);
-        assertEquals(6, out.lastEndpoint(), "absent from a whole list: gone");
+        router.onEndpointList(0, EndpointListKind.FULL, new EndpointInfo[] {Fixture.endpoint(6)}, 1, fixture);
+        router.onRequest(S, Fixture.request(900, 9, 2 * S), fixture);
+        assertEquals(6, fixture.lastEndpoint(), "endpoints that a full list omits are gone");
     }
 
     @Test
-    void allProxiesSendAWarmingEndpointTheSameGrowingShare() {
-        EndpointInfo[] nodes = Fixture.nodes(4);
-        nodes[0].startedUs = 0;
-        int[] part = new int[3];
+    void allProxiesSendWarmingEndpointTheSameGrowingShareOfKeys() {
+        EndpointInfo[] endpoints = Fixture.endpoints(4);
+        endpoints[0].startedUs = 0;
+        int[] keysSent = new int[3];
         for (int key = 1; key <= 400; key++) {
-            Boolean first = null;
-            for (int step = 0; step < 3; step++) {
+            Boolean decisionOfFirstProxy = null;
+            for (int warmUpStep = 0; warmUpStep < 3; warmUpStep++) {
                 for (long seed = 1; seed < 3; seed++) {
-                    Fixture f = new Fixture();
-                    FairRouter router = f.router(Fixture.settings(Idempotency.IDEMPOTENT), seed, nodes);
-                    router.onRequest(step * 5 * S, Fixture.request(1, key, 20 * S), f);
-                    boolean there = f.lastEndpoint() == 1;
-                    part[step] += there && seed == 1 ? 1 : 0;
+                    Fixture caseFixture = new Fixture();
+                    FairRouter router = caseFixture.router(Fixture.settings(Idempotency.IDEMPOTENT), seed, endpoints);
+                    router.onRequest(warmUpStep * 5 * S, Fixture.request(1, key, 20 * S), caseFixture);
+                    boolean atWarmingEndpoint = caseFixture.lastEndpoint() == 1;
+                    keysSent[warmUpStep] += atWarmingEndpoint && seed == 1 ? 1 : 0;
                     if (seed == 1) {
-                        first = there;
+                        decisionOfFirstProxy = atWarmingEndpoint;
                     } else {
-                        assertEquals(first, there, "routers agree without talking");
+                        assertEquals(
+                                decisionOfFirstProxy, atWarmingEndpoint, "the proxies agree without communication");
                     }
                 }
             }
         }
         assertTrue(
-                part[0] < 30 && part[0] > 0 && part[1] > part[0] && part[2] > part[1],
-                part[0] + ", " + part[1] + ", " + part[2] + " of 400 keys, 100 due when warm");
+                keysSent[0] < 30 && keysSent[0] > 0 && keysSent[1] > keysSent[0] && keysSent[2] > keysSent[1],
+                keysSent[0] + ", " + keysSent[1] + ", " + keysSent[2] + " of 400 keys, 100 expected when warm");
     }
 
-    private FairRouter aside(Idempotency effect) {
-        RoutingSettings s = Fixture.settings(effect);
-        s.cacheAside = true;
-        s.originKind = 9;
-        EndpointInfo[] nodes = Fixture.nodes(7);
-        nodes[6].kind = 9;
-        return out.router(s, 1, nodes);
+    private FairRouter cacheAsideRouter(Idempotency idempotency) {
+        RoutingSettings settings = Fixture.settings(idempotency);
+        settings.cacheAside = true;
+        settings.originKind = 9;
+        EndpointInfo[] endpoints = Fixture.endpoints(7);
+        endpoints[6].kind = 9;
+        return fixture.router(settings, 1, endpoints);
     }
 
     @Test
     void cacheAsideSendsMissesAndWritesToTheOrigin() {
-        FairRouter router = aside(Idempotency.IDEMPOTENT);
-        request(router);
-        assertTrue(out.lastEndpoint() < 7, "the origin is no cache");
-        router.onOutcome(MS, 1, 0, AttemptOutcome.MISS, MS, false, CacheResult.MISS, new LoadReport(), out);
-        assertEquals(7, out.lastEndpoint());
-        RoutingRequest w = Fixture.request(2, 42, S);
-        w.write = true;
-        router.onRequest(MS, w, out);
-        assertEquals(7, out.lastEndpoint());
+        FairRouter router = cacheAsideRouter(Idempotency.IDEMPOTENT);
+        sendOneRequest(router);
+        assertTrue(fixture.lastEndpoint() < 7, "a read is first sent to a cache endpoint");
+        router.onOutcome(MS, 1, 0, AttemptOutcome.MISS, MS, false, CacheResult.MISS, new LoadReport(), fixture);
+        assertEquals(7, fixture.lastEndpoint());
+        RoutingRequest writeRequest = Fixture.request(2, 42, S);
+        writeRequest.write = true;
+        router.onRequest(MS, writeRequest, fixture);
+        assertEquals(7, fixture.lastEndpoint());
     }
 
-    /** Site milano-turni big-1: writes alone kept a slow origin overloaded, and no response was in time. */
+    /**
+     * On site milano-turni big-1 writes alone kept a slow origin overloaded, and no response was in time: writes must
+     * be rejected too, but later than reads.
+     */
     @Test
-    void writesToAFailingOriginAreRejectedLaterThanReads() {
-        RoutingSettings s = Fixture.settings(Idempotency.IDEMPOTENT, Idempotency.IDEMPOTENCY_KEY);
-        s.cacheAside = true;
-        s.originKind = 9;
-        s.requestClasses[1].priorityWeight = 4;
-        s.tenants = new TenantQuota[200];
-        java.util.Arrays.setAll(s.tenants, i -> new TenantQuota());
-        EndpointInfo[] nodes = Fixture.nodes(7);
-        nodes[6].kind = 9;
-        int[] refused = new int[2];
+    void rejectsWritesToFailingOriginLaterThanReads() {
+        RoutingSettings settings = Fixture.settings(Idempotency.IDEMPOTENT, Idempotency.IDEMPOTENCY_KEY);
+        settings.cacheAside = true;
+        settings.originKind = 9;
+        settings.requestClasses[1].priorityWeight = 4;
+        settings.tenants = new TenantQuota[200];
+        java.util.Arrays.setAll(settings.tenants, i -> new TenantQuota());
+        EndpointInfo[] endpoints = Fixture.endpoints(7);
+        endpoints[6].kind = 9;
+        int[] rejectedCount = new int[2];
         for (int seed = 1; seed <= 40; seed++) {
-            Fixture f = new Fixture();
-            FairRouter router = f.router(s, seed, nodes);
+            Fixture caseFixture = new Fixture();
+            FairRouter router = caseFixture.router(settings, seed, endpoints);
             for (int i = 0; i < 3; i++) {
-                RoutingRequest w = Fixture.request(i, 1 + i, S);
-                w.requestClass = 1;
-                w.write = true;
-                w.tenant = i;
-                router.onRequest(i * MS, w, f);
-                f.outcome(router, i * MS, i, 0, AttemptOutcome.TIMEOUT);
+                RoutingRequest writeRequest = Fixture.request(i, 1 + i, S);
+                writeRequest.requestClass = 1;
+                writeRequest.write = true;
+                writeRequest.tenant = i;
+                router.onRequest(i * MS, writeRequest, caseFixture);
+                caseFixture.outcome(router, i * MS, i, 0, AttemptOutcome.TIMEOUT);
             }
             for (int kind = 0; kind < 2; kind++) {
                 for (int i = 0; i < 10; i++) {
                     int id = 100 + 10 * kind + i;
-                    RoutingRequest q = Fixture.request(id, id, 4 * S);
-                    q.requestClass = kind;
-                    q.write = kind == 1;
-                    q.tenant = id;
-                    int before = f.rejected.size();
-                    router.onRequest(2 * S, q, f);
-                    if (kind == 0 && f.rejected.size() == before) {
+                    RoutingRequest request = Fixture.request(id, id, 4 * S);
+                    request.requestClass = kind;
+                    request.write = kind == 1;
+                    request.tenant = id;
+                    int rejectedBefore = caseFixture.rejected.size();
+                    router.onRequest(2 * S, request, caseFixture);
+                    if (kind == 0 && caseFixture.rejected.size() == rejectedBefore) {
                         router.onOutcome(
-                                2 * S, id, 0, AttemptOutcome.MISS, MS, false, CacheResult.MISS, new LoadReport(), f);
+                                2 * S,
+                                id,
+                                0,
+                                AttemptOutcome.MISS,
+                                MS,
+                                false,
+                                CacheResult.MISS,
+                                new LoadReport(),
+                                caseFixture);
                     }
-                    refused[kind] += f.rejected.size() - before;
+                    rejectedCount[kind] += caseFixture.rejected.size() - rejectedBefore;
                 }
             }
         }
-        assertTrue(refused[1] > 20 && refused[1] < refused[0], refused[0] + " reads, " + refused[1] + " writes");
+        assertTrue(
+                rejectedCount[1] > 20 && rejectedCount[1] < rejectedCount[0],
+                rejectedCount[0] + " reads, " + rejectedCount[1] + " writes");
     }
 
-    /** After an attempt that may have run, a miss elsewhere must not lift the deduplication scope. */
+    /** A miss must not lead to an attempt outside the deduplication scope of one that may have been executed. */
     @Test
-    void aReadWithAnIdempotencyKeyStaysInItsDeduplicationScope() {
-        RoutingSettings s = Fixture.settings(Idempotency.IDEMPOTENCY_KEY);
-        s.cacheAside = true;
-        s.originKind = 9;
-        s.requestClasses[0].deduplicationScope = DeduplicationScope.ZONE;
-        EndpointInfo[] nodes = Fixture.nodes(7);
-        nodes[6].kind = 9;
-        nodes[6].zone = 1;
-        FairRouter router = out.router(s, 1, nodes);
-        request(router);
-        out.outcome(router, MS, 1, 0, AttemptOutcome.ERROR);
-        assertEquals(2, out.sent.size(), "tried again within its zone");
-        router.onOutcome(2 * MS, 1, 1, AttemptOutcome.MISS, MS, false, CacheResult.MISS, new LoadReport(), out);
-        assertEquals(2, out.sent.size(), "the origin stands in another zone");
-        assertEquals(1, out.failed.size());
+    void keepsReadWithIdempotencyKeyInItsDeduplicationScope() {
+        RoutingSettings settings = Fixture.settings(Idempotency.IDEMPOTENCY_KEY);
+        settings.cacheAside = true;
+        settings.originKind = 9;
+        settings.requestClasses[0].deduplicationScope = DeduplicationScope.ZONE;
+        EndpointInfo[] endpoints = Fixture.endpoints(7);
+        endpoints[6].kind = 9;
+        endpoints[6].zone = 1;
+        FairRouter router = fixture.router(settings, 1, endpoints);
+        sendOneRequest(router);
+        fixture.outcome(router, MS, 1, 0, AttemptOutcome.ERROR);
+        assertEquals(2, fixture.sent.size(), "retried within its zone");
+        router.onOutcome(2 * MS, 1, 1, AttemptOutcome.MISS, MS, false, CacheResult.MISS, new LoadReport(), fixture);
+        assertEquals(2, fixture.sent.size(), "the origin is in another zone");
+        assertEquals(1, fixture.failed.size());
     }
 
     @Test
-    void missesAreRejectedWhileTheOriginFails() {
-        FairRouter router = aside(Idempotency.IDEMPOTENT);
-        int reached = 0;
+    void rejectsMissesWhileTheOriginFails() {
+        FairRouter router = cacheAsideRouter(Idempotency.IDEMPOTENT);
+        int sentToOrigin = 0;
         for (int i = 0; i < 60; i++) {
-            RoutingRequest q = Fixture.request(i, 100 + i, S);
-            q.tenant = i;
-            router.onRequest(i * MS, q, out);
-            if (out.sent.isEmpty() || out.sent.get(out.sent.size() - 1).request() != i) {
+            RoutingRequest request = Fixture.request(i, 100 + i, S);
+            request.tenant = i;
+            router.onRequest(i * MS, request, fixture);
+            if (fixture.sent.isEmpty() || fixture.sent.get(fixture.sent.size() - 1).request() != i) {
                 continue; // rejected for its tenant
             }
-            router.onOutcome(i * MS, i, 0, AttemptOutcome.MISS, MS, false, CacheResult.MISS, new LoadReport(), out);
-            if (out.lastEndpoint() == 7 && out.sent.get(out.sent.size() - 1).request() == i) {
-                reached++;
-                out.outcome(router, i * MS, i, 1, AttemptOutcome.OVERLOADED);
+            router.onOutcome(i * MS, i, 0, AttemptOutcome.MISS, MS, false, CacheResult.MISS, new LoadReport(), fixture);
+            if (fixture.lastEndpoint() == 7 && fixture.sent.get(fixture.sent.size() - 1).request() == i) {
+                sentToOrigin++;
+                fixture.outcome(router, i * MS, i, 1, AttemptOutcome.OVERLOADED);
             }
         }
-        assertTrue(reached < 20, "the origin's bucket stops most misses: " + reached);
+        assertTrue(sentToOrigin < 20, "misses sent to the failing origin: " + sentToOrigin);
     }
 }
--- a/proxy/src/test/java/cacheproxy/routing/SettingsTextTest.java
+++ b/proxy/src/test/java/cacheproxy/routing/SettingsTextTest.java
@@ -54,54 +54,58 @@
             """;
 
     @Test
-    void valuesAreReadAndUnknownPathsIgnored() {
+    void readsValuesAndIgnoresUnknownPaths() {
         SettingsText text = new SettingsText(TEXT);
-        RoutingSettings s = text.settings();
-        assertEquals(2, s.zone);
-        assertEquals(26, s.proxyCount);
-        assertEquals(6, s.maxAttempts);
-        assertTrue(s.cancellationAllowed && !s.hedgingAllowed && s.cacheAside && s.subscribeRequired);
-        assertEquals(3, s.originKind);
-        assertEquals(2_000_000, s.maxRetryAfterUs);
-        assertEquals(Idempotency.IDEMPOTENCY_KEY, s.requestClasses[0].idempotency);
-        assertEquals(DeduplicationScope.CELL, s.requestClasses[0].deduplicationScope);
-        assertEquals(1_500_000, s.requestClasses[0].latencyObjectiveUs);
-        assertEquals(2_000_500, s.requestClasses[0].deduplicationWindowUs);
-        assertEquals(Idempotency.IDEMPOTENT, s.requestClasses[1].idempotency);
-        assertEquals(0.3, s.slowStartInitialCapacity);
-        assertEquals(8_900_000, s.slowStartUs);
-        assertEquals("north", s.tenants[0].name);
-        assertEquals(114.0, s.tenants[0].requestsPerSecond);
+        RoutingSettings settings = text.settings();
+        assertEquals(2, settings.zone);
+        assertEquals(26, settings.proxyCount);
+        assertEquals(6, settings.maxAttempts);
+        assertTrue(
+                settings.cancellationAllowed
+                        && !settings.hedgingAllowed
+                        && settings.cacheAside
+                        && settings.subscribeRequired);
+        assertEquals(3, settings.originKind);
+        assertEquals(2_000_000, settings.maxRetryAfterUs);
+        assertEquals(Idempotency.IDEMPOTENCY_KEY, settings.requestClasses[0].idempotency);
+        assertEquals(DeduplicationScope.CELL, settings.requestClasses[0].deduplicationScope);
+        assertEquals(1_500_000, settings.requestClasses[0].latencyObjectiveUs);
+        assertEquals(2_000_500, settings.requestClasses[0].deduplicationWindowUs);
+        assertEquals(Idempotency.IDEMPOTENT, settings.requestClasses[1].idempotency);
+        assertEquals(0.3, settings.slowStartInitialCapacity);
+        assertEquals(8_900_000, settings.slowStartUs);
+        assertEquals("north", settings.tenants[0].name);
+        assertEquals(114.0, settings.tenants[0].requestsPerSecond);
         assertEquals("q busy", String.join(" ", text.reportFields()));
-        assertEquals(16, s.streamsPerConnection);
-        assertEquals(60_000_000, s.idleTimeoutUs);
-        assertEquals(250_000, s.connectTimeoutUs);
-        assertEquals(2.5, s.requestClasses[0].latencyObjectiveStretch);
-        assertEquals(0.05, s.overQuotaValue);
-        assertTrue(s.clientsMarkRetries && s.gossipAllowed && s.valueByWork);
-        assertEquals(EndpointWeightSource.ROUGH, s.weightSource);
-        assertEquals(LoadReportSource.RESPONSES, s.loadReportSource);
-        assertEquals(3.0, s.originCollapseMultiple);
-        assertEquals(3_000_000, s.originCollapseUs);
-        assertEquals(20_000, s.responseGraceUs);
-        assertEquals(0.06, s.crossZonePrice);
-        assertEquals(0.03, s.handshakePrice);
-        assertEquals(0.2, s.tailLatencyWeight);
-        assertEquals(0.02, s.allowedMissShare);
-        assertEquals(0.4, s.worstTenantWeight);
-        assertEquals(10.0, s.cpuUsPerRequest);
+        assertEquals(16, settings.streamsPerConnection);
+        assertEquals(60_000_000, settings.idleTimeoutUs);
+        assertEquals(250_000, settings.connectTimeoutUs);
+        assertEquals(2.5, settings.requestClasses[0].latencyObjectiveStretch);
+        assertEquals(0.05, settings.overQuotaValue);
+        assertTrue(settings.clientsMarkRetries && settings.gossipAllowed && settings.valueByWork);
+        assertEquals(EndpointWeightSource.ROUGH, settings.weightSource);
+        assertEquals(LoadReportSource.RESPONSES, settings.loadReportSource);
+        assertEquals(3.0, settings.originCollapseMultiple);
+        assertEquals(3_000_000, settings.originCollapseUs);
+        assertEquals(20_000, settings.responseGraceUs);
+        assertEquals(0.06, settings.crossZonePrice);
+        assertEquals(0.03, settings.handshakePrice);
+        assertEquals(0.2, settings.tailLatencyWeight);
+        assertEquals(0.02, settings.allowedMissShare);
+        assertEquals(0.4, settings.worstTenantWeight);
+        assertEquals(10.0, settings.cpuUsPerRequest);
     }
 
     @Test
-    void aMissingEffectMeansNotIdempotent() {
+    void treatsMissingEffectAsNotIdempotent() {
         assertEquals(
                 Idempotency.NOT_IDEMPOTENT,
                 new SettingsText("grades.count=1\n").settings().requestClasses[0].idempotency);
     }
 
     @Test
-    void invalidValuesAreNamedOnOneLine() {
-        for (String bad : new String[] {
+    void namesTheSettingWhoseValueIsInvalid() {
+        for (String invalidLine : new String[] {
             "balancers=many",
             "balancers=0",
             "balancers=1.5",
@@ -114,27 +118,28 @@
             "tickMs=-1"
         }) {
             InvalidInputException e =
-                    assertThrows(InvalidInputException.class, () -> new SettingsText(bad).settings(), bad);
-            assertTrue(e.getMessage().contains(bad.substring(0, bad.indexOf('='))), e.getMessage());
+                    assertThrows(
+                            InvalidInputException.class, () -> new SettingsText(invalidLine).settings(), invalidLine);
+            assertTrue(e.getMessage().contains(invalidLine.substring(0, invalidLine.indexOf('='))), e.getMessage());
         }
         assertThrows(InvalidInputException.class, () -> new SettingsText("no equals sign"));
     }
 
     @Test
-    void impossibleSettingsAreRejectedByName() {
-        RoutingSettings s = Fixture.settings(Idempotency.IDEMPOTENT);
-        s.slowStartInitialCapacity = 0;
-        assertTrue(assertThrows(IllegalArgumentException.class, s::check)
+    void checkNamesTheInvalidSetting() {
+        RoutingSettings settings = Fixture.settings(Idempotency.IDEMPOTENT);
+        settings.slowStartInitialCapacity = 0;
+        assertTrue(assertThrows(IllegalArgumentException.class, settings::check)
                 .getMessage()
                 .contains("coldFrom"));
-        s.slowStartInitialCapacity = 1;
-        s.cacheAside = true;
-        assertTrue(assertThrows(IllegalArgumentException.class, s::check)
+        settings.slowStartInitialCapacity = 1;
+        settings.cacheAside = true;
+        assertTrue(assertThrows(IllegalArgumentException.class, settings::check)
                 .getMessage()
                 .contains("originKind"));
-        s.cacheAside = false;
-        s.maxAttempts = 0;
-        assertTrue(assertThrows(IllegalArgumentException.class, s::check)
+        settings.cacheAside = false;
+        settings.maxAttempts = 0;
+        assertTrue(assertThrows(IllegalArgumentException.class, settings::check)
                 .getMessage()
                 .contains("maxAttempts"));
     }
--- a/proxy/src/test/java/cacheproxy/routing/SlowStartExclusionTest.java
+++ b/proxy/src/test/java/cacheproxy/routing/SlowStartExclusionTest.java
@@ -5,46 +5,46 @@
 
 import org.junit.jupiter.api.Test;
 
-/** Requests that would exceed the share of keys which all proxies send to a warming endpoint. */
+/** Requests not sent to a warming endpoint, because they would add to the share of keys that all proxies send it. */
 class SlowStartExclusionTest {
     private static final long MS = Fixture.MS;
     private static final long S = Fixture.S;
-    private static final int COLD = 1;
+    private static final int WARMING_ENDPOINT = 1;
 
-    private static EndpointInfo[] nodes(int count) {
-        EndpointInfo[] nodes = Fixture.nodes(count);
-        nodes[0].startedUs = 0;
-        return nodes;
+    private static EndpointInfo[] endpoints(int count) {
+        EndpointInfo[] endpoints = Fixture.endpoints(count);
+        endpoints[0].startedUs = 0;
+        return endpoints;
     }
 
-    /** Otherwise retries of many failing endpoints would overload the one with the least capacity. */
+    /** Otherwise retries after failures of many endpoints would overload the one with the least capacity. */
     @Test
-    void aRetryIsNotSentToAWarmingEndpoint() {
-        int first = 0;
+    void sendsNoRetryToWarmingEndpoint() {
+        int sentToWarmingFirst = 0;
         for (long key = 1; key <= 400; key++) {
-            Fixture f = new Fixture();
-            FairRouter router = f.router(Fixture.settings(Idempotency.IDEMPOTENT), 1, nodes(2));
-            router.onRequest(5 * S, Fixture.request(1, key, 6 * S), f);
-            boolean cold = f.lastEndpoint() == COLD;
-            first += cold ? 1 : 0;
-            f.outcome(router, 5 * S + MS, 1, 0, AttemptOutcome.CONNECT_FAILED);
-            assertEquals(cold ? 2 : 1, f.sent.size(), "key " + key + ": " + f.all);
+            Fixture fixture = new Fixture();
+            FairRouter router = fixture.router(Fixture.settings(Idempotency.IDEMPOTENT), 1, endpoints(2));
+            router.onRequest(5 * S, Fixture.request(1, key, 6 * S), fixture);
+            boolean sentToWarming = fixture.lastEndpoint() == WARMING_ENDPOINT;
+            sentToWarmingFirst += sentToWarming ? 1 : 0;
+            fixture.outcome(router, 5 * S + MS, 1, 0, AttemptOutcome.CONNECT_FAILED);
+            assertEquals(sentToWarming ? 2 : 1, fixture.sent.size(), "key " + key + ": " + fixture.actions);
         }
-        assertTrue(first > 20, "half warm, it has keys of its own: " + first);
+        assertTrue(sentToWarmingFirst > 20, "half warmed up, it is sent first attempts: " + sentToWarmingFirst);
     }
 
-    /** A popular key is requested from many endpoints by every proxy. */
+    /** Every proxy sends a popular key to many endpoints, so it would add load to the warming one. */
     @Test
-    void aPopularKeyIsNotSentToAWarmingEndpoint() {
+    void sendsNoPopularKeyToWarmingEndpoint() {
         for (long key = 1; key <= 60; key++) {
-            Fixture f = new Fixture();
-            FairRouter router = f.router(Fixture.settings(Idempotency.IDEMPOTENT), 1, nodes(4));
+            Fixture fixture = new Fixture();
+            FairRouter router = fixture.router(Fixture.settings(Idempotency.IDEMPOTENT), 1, endpoints(4));
             for (int i = 0; i < 60; i++) {
                 long now = 5 * S + i * 10 * MS;
-                router.onRequest(now, Fixture.request(i, key, now + S), f);
-                assertEquals(i + 1, f.sent.size());
-                assertTrue(i < 5 || f.lastEndpoint() != COLD, "key " + key + " at its request " + i);
-                f.outcome(router, now + MS, i, 0, AttemptOutcome.OK);
+                router.onRequest(now, Fixture.request(i, key, now + S), fixture);
+                assertEquals(i + 1, fixture.sent.size());
+                assertTrue(i < 5 || fixture.lastEndpoint() != WARMING_ENDPOINT, "key " + key + " at request " + i);
+                fixture.outcome(router, now + MS, i, 0, AttemptOutcome.OK);
             }
         }
     }
--- a/proxy/src/test/java/cacheproxy/routing/SlowStartRateTest.java
+++ b/proxy/src/test/java/cacheproxy/routing/SlowStartRateTest.java
@@ -11,231 +11,238 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * An endpoint that warms up has a part of its capacity and collapses when sent a multiple of that for a while. The
- * limit must hold against a client that requests only keys of this endpoint, also if it disconnects at once, from which
- * nothing is learnt.
+ * An endpoint that is warming up has part of its capacity and collapses when it is sent a multiple of that for a time.
+ * The rate limit must hold against a client that requests only keys of this endpoint, even if it disconnects at once,
+ * which leaves the router without outcomes to learn from.
  */
 class SlowStartRateTest {
     private static final long MS = Fixture.MS;
     private static final long S = Fixture.S;
-    private static final int COLD = 1;
-    private static final int NODES = 4;
-    private static final int ROUTERS = 4;
-    /** Of all tenants together: 16 a second for each endpoint of equal weight. */
-    private static final double QUOTA = 64;
+    private static final int WARMING_ENDPOINT = 1;
+    private static final int ENDPOINT_COUNT = 4;
+    private static final int PROXY_COUNT = 4;
+    /** Quota of all tenants together: 16 a second for each endpoint of equal weight. */
+    private static final double TOTAL_QUOTA_PER_SECOND = 64;
 
     private static RoutingSettings settings() {
-        RoutingSettings s = Fixture.settings(Idempotency.IDEMPOTENT);
-        s.requestClasses[0].latencyObjectiveUs = 750 * MS;
-        s.requestClasses[0].deadlineUs = 1500 * MS;
-        s.tenants[0].requestsPerSecond = 0.75 * QUOTA;
-        s.tenants[1].requestsPerSecond = 0.25 * QUOTA;
-        s.proxyCount = ROUTERS;
-        s.slowStartInitialCapacity = 0.17;
-        s.slowStartUs = 24 * S;
-        s.collapseMultiple = 4;
-        s.collapseUs = 2 * S;
-        return s;
+        RoutingSettings routerSettings = Fixture.settings(Idempotency.IDEMPOTENT);
+        routerSettings.requestClasses[0].latencyObjectiveUs = 750 * MS;
+        routerSettings.requestClasses[0].deadlineUs = 1500 * MS;
+        routerSettings.tenants[0].requestsPerSecond = 0.75 * TOTAL_QUOTA_PER_SECOND;
+        routerSettings.tenants[1].requestsPerSecond = 0.25 * TOTAL_QUOTA_PER_SECOND;
+        routerSettings.proxyCount = PROXY_COUNT;
+        routerSettings.slowStartInitialCapacity = 0.17;
+        routerSettings.slowStartUs = 24 * S;
+        routerSettings.collapseMultiple = 4;
+        routerSettings.collapseUs = 2 * S;
+        return routerSettings;
     }
 
-    /** All ready, the first just started. */
-    private static EndpointInfo[] nodes(double coldWeight) {
-        EndpointInfo[] nodes = Fixture.nodes(NODES);
-        nodes[0].startedUs = 0;
-        nodes[0].weight = coldWeight;
-        return nodes;
+    /** All endpoints are ready, and the first has just started. */
+    private static EndpointInfo[] endpoints(double warmingWeight) {
+        EndpointInfo[] endpoints = Fixture.endpoints(ENDPOINT_COUNT);
+        endpoints[0].startedUs = 0;
+        endpoints[0].weight = warmingWeight;
+        return endpoints;
     }
 
-    /** What the warming endpoint may be sent in any {@code collapseUs} that end at this time. */
-    private static double most(RoutingSettings s, double coldWeight, long at) {
-        double share = s.slowStartInitialCapacity
-                + (1 - s.slowStartInitialCapacity) * Math.min(1, (double) at / s.slowStartUs);
-        double capacity = QUOTA * coldWeight / (NODES - 1 + coldWeight);
-        return s.collapseMultiple * share * capacity * s.collapseUs / S;
+    /** Most requests that the warming endpoint may be sent in the {@code collapseUs} before this time. */
+    private static double maxSends(RoutingSettings routerSettings, double warmingWeight, long sentAtUs) {
+        double capacityShare = routerSettings.slowStartInitialCapacity
+                + (1 - routerSettings.slowStartInitialCapacity)
+                        * Math.min(1, (double) sentAtUs / routerSettings.slowStartUs);
+        double capacity = TOTAL_QUOTA_PER_SECOND * warmingWeight / (ENDPOINT_COUNT - 1 + warmingWeight);
+        return routerSettings.collapseMultiple * capacityShare * capacity * routerSettings.collapseUs / S;
     }
 
-    private static void assertWithin(RoutingSettings s, double coldWeight, double part, Iterable<Long> sends) {
+    private static void assertWithin(
+            RoutingSettings routerSettings, double warmingWeight, double proxyShare, Iterable<Long> sends) {
         Deque<Long> window = new ArrayDeque<>();
-        for (long at : sends) {
-            window.add(at);
-            while (window.peek() <= at - s.collapseUs) {
+        for (long sentAtUs : sends) {
+            window.add(sentAtUs);
+            while (window.peek() <= sentAtUs - routerSettings.collapseUs) {
                 window.poll();
             }
-            double most = part * most(s, coldWeight, at);
+            double maxSends = proxyShare * maxSends(routerSettings, warmingWeight, sentAtUs);
             assertTrue(
-                    window.size() <= most,
-                    window.size() + " sends in 2 s until " + at / S + " s, where " + most + " are the most");
+                    window.size() <= maxSends,
+                    window.size() + " sends in 2 s until " + sentAtUs / S + " s, where " + maxSends + " are allowed");
         }
     }
 
-    /** Keys that an idle router without the limit sends to the warming endpoint. */
-    private static long[] coldKeys(RoutingSettings limited, double coldWeight, int count) {
-        RoutingSettings s = settings();
-        s.proxyCount = limited.proxyCount;
-        s.collapseMultiple = 0;
+    /** Keys whose requests an idle router without the rate limit sends to the warming endpoint. */
+    private static long[] keysOfWarmingEndpoint(RoutingSettings limitedSettings, double warmingWeight, int count) {
+        RoutingSettings routerSettings = settings();
+        routerSettings.proxyCount = limitedSettings.proxyCount;
+        routerSettings.collapseMultiple = 0;
         long[] keys = new long[count];
-        int found = 0;
-        Fixture out = new Fixture();
-        FairRouter oracle = out.router(s, 1, nodes(coldWeight));
-        for (long key = 1; found < count; key++) {
-            assertTrue(key < 1_000_000, "no keys fall to the cold node");
-            oracle.onRequest(0, Fixture.request(key, key, S), out);
-            if (out.lastEndpoint() == COLD) {
-                keys[found++] = key;
-                out = new Fixture();
-                oracle = out.router(s, 1, nodes(coldWeight));
+        int foundCount = 0;
+        Fixture fixture = new Fixture();
+        FairRouter unlimitedRouter = fixture.router(routerSettings, 1, endpoints(warmingWeight));
+        for (long key = 1; foundCount < count; key++) {
+            assertTrue(key < 1_000_000, "no keys belong to the warming endpoint");
+            unlimitedRouter.onRequest(0, Fixture.request(key, key, S), fixture);
+            if (fixture.lastEndpoint() == WARMING_ENDPOINT) {
+                keys[foundCount++] = key;
+                fixture = new Fixture();
+                unlimitedRouter = fixture.router(routerSettings, 1, endpoints(warmingWeight));
             } else {
-                out.outcome(oracle, 0, key, 0, AttemptOutcome.OK);
+                fixture.outcome(unlimitedRouter, 0, key, 0, AttemptOutcome.OK);
             }
         }
         return keys;
     }
 
-    /** One router with its client, which sends 100 requests a second. */
-    private static final class Load {
-        final Fixture out = new Fixture();
+    /** The requests of one proxy and where its router sends them. */
+    private static final class ProxyLoad {
+        final Fixture fixture = new Fixture();
         final FairRouter router;
-        final List<Long> toCold = new ArrayList<>();
-        int toOthers;
+        final List<Long> sentToWarmingAtUs = new ArrayList<>();
+        int sentToOthers;
 
-        Load(RoutingSettings s, double coldWeight, long seed) {
-            router = out.router(s, seed, nodes(coldWeight));
+        ProxyLoad(RoutingSettings routerSettings, double warmingWeight, long seed) {
+            router = fixture.router(routerSettings, seed, endpoints(warmingWeight));
         }
 
-        private void counted(int before, long now) {
-            for (Fixture.Sent sent : out.sent.subList(before, out.sent.size())) {
-                if (sent.node() == COLD) {
-                    toCold.add(now);
+        private void countSends(int countBefore, long nowUs) {
+            for (Fixture.SentAttempt sent : fixture.sent.subList(countBefore, fixture.sent.size())) {
+                if (sent.endpoint() == WARMING_ENDPOINT) {
+                    sentToWarmingAtUs.add(nowUs);
                 } else {
-                    toOthers++;
+                    sentToOthers++;
                 }
             }
         }
 
-        /** A request at this time; after 8 ms its client disconnects, or the endpoint responds. */
-        void ask(long now, long id, long key, boolean leaves) {
-            int before = out.sent.size();
-            router.onRequest(now, Fixture.request(id, key, now + 1500 * MS), out);
-            counted(before, now);
-            boolean sent = out.sent.size() > before;
-            long end = now + 8 * MS;
-            if (leaves) {
-                router.onClientGone(end, id, out);
+        /** Handles a request at this time; 8 ms later its client disconnects or the endpoint responds. */
+        void handleRequest(long nowUs, long id, long key, boolean clientDisconnects) {
+            int countBefore = fixture.sent.size();
+            router.onRequest(nowUs, Fixture.request(id, key, nowUs + 1500 * MS), fixture);
+            countSends(countBefore, nowUs);
+            boolean sent = fixture.sent.size() > countBefore;
+            long endUs = nowUs + 8 * MS;
+            if (clientDisconnects) {
+                router.onClientGone(endUs, id, fixture);
             }
             if (sent) {
                 router.onOutcome(
-                        end,
+                        endUs,
                         id,
                         0,
-                        leaves ? AttemptOutcome.CANCELLED : AttemptOutcome.OK,
+                        clientDisconnects ? AttemptOutcome.CANCELLED : AttemptOutcome.OK,
                         8 * MS,
                         true,
                         CacheResult.NONE,
                         new LoadReport(),
-                        out);
+                        fixture);
             }
         }
     }
 
-    private static Load asked(RoutingSettings s, double coldWeight, long seed, boolean leaves) {
-        long[] keys = coldKeys(s, coldWeight, 1000);
-        Load load = new Load(s, coldWeight, seed);
+    private static ProxyLoad loadOf(
+            RoutingSettings routerSettings, double warmingWeight, long seed, boolean clientDisconnects) {
+        long[] keys = keysOfWarmingEndpoint(routerSettings, warmingWeight, 1000);
+        ProxyLoad load = new ProxyLoad(routerSettings, warmingWeight, seed);
         for (int i = 0; i < keys.length; i++) {
-            load.ask(i * 10 * MS, i, keys[i], leaves);
+            load.handleRequest(i * 10 * MS, i, keys[i], clientDisconnects);
         }
         return load;
     }
 
     @Test
-    void oneProxyStaysWithinItsShareWhenClientsDisconnectAtOnce() {
-        RoutingSettings s = settings();
-        Load load = asked(s, 1, 7, true);
-        assertTrue(load.toCold.size() > 5, "it is used at all: " + load.toCold.size());
-        assertWithin(s, 1, 1.0 / ROUTERS, load.toCold);
+    void proxyStaysWithinItsShareWhenClientsDisconnectAtOnce() {
+        RoutingSettings routerSettings = settings();
+        ProxyLoad load = loadOf(routerSettings, 1, 7, true);
+        assertTrue(
+                load.sentToWarmingAtUs.size() > 5,
+                "the endpoint is sent some requests: " + load.sentToWarmingAtUs.size());
+        assertWithin(routerSettings, 1, 1.0 / PROXY_COUNT, load.sentToWarmingAtUs);
     }
 
     @Test
-    void oneProxyStaysWithinItsShareWhenTheEndpointResponds() {
-        RoutingSettings s = settings();
-        Load load = asked(s, 1, 7, false);
-        assertTrue(load.toCold.size() > 5, "it is used at all: " + load.toCold.size());
-        assertWithin(s, 1, 1.0 / ROUTERS, load.toCold);
+    void proxyStaysWithinItsShareWhenTheEndpointResponds() {
+        RoutingSettings routerSettings = settings();
+        ProxyLoad load = loadOf(routerSettings, 1, 7, false);
+        assertTrue(
+                load.sentToWarmingAtUs.size() > 5,
+                "the endpoint is sent some requests: " + load.sentToWarmingAtUs.size());
+        assertWithin(routerSettings, 1, 1.0 / PROXY_COUNT, load.sentToWarmingAtUs);
     }
 
     /** Requests beyond the limit are sent to other endpoints, not rejected. */
     @Test
-    void requestsBeyondTheLimitGoToOtherEndpoints() {
-        Load load = asked(settings(), 1, 7, false);
-        assertEquals(List.of(), load.out.rejected);
-        assertEquals(List.of(), load.out.failed);
-        assertEquals(1000, load.toCold.size() + load.toOthers);
+    void sendsRequestsBeyondTheLimitToOtherEndpoints() {
+        ProxyLoad load = loadOf(settings(), 1, 7, false);
+        assertEquals(List.of(), load.fixture.rejected);
+        assertEquals(List.of(), load.fixture.failed);
+        assertEquals(1000, load.sentToWarmingAtUs.size() + load.sentToOthers);
     }
 
-    /** The share of the quotas is proportional to the weight. */
+    /** An endpoint's share of the quotas is proportional to its weight. */
     @Test
-    void anEndpointOfLessWeightGetsLess() {
-        RoutingSettings s = settings();
-        assertWithin(s, 0.5, 1.0 / ROUTERS, asked(s, 0.5, 7, true).toCold);
+    void endpointOfLessWeightGetsFewerRequests() {
+        RoutingSettings routerSettings = settings();
+        assertWithin(routerSettings, 0.5, 1.0 / PROXY_COUNT, loadOf(routerSettings, 0.5, 7, true).sentToWarmingAtUs);
     }
 
-    /** The proxies do not communicate: the sum holds by the settings alone. */
+    /** The proxies do not communicate: the total limit must hold by the settings alone. */
     @Test
-    void fourProxiesTogetherStayWithinTheTotal() {
-        RoutingSettings s = settings();
-        TreeMap<Long, Integer> all = new TreeMap<>();
-        for (int i = 0; i < ROUTERS; i++) {
-            for (long at : asked(s, 1, 7 + i, true).toCold) {
-                all.merge(at, 1, Integer::sum);
+    void fourProxiesTogetherStayWithinTheTotalLimit() {
+        RoutingSettings routerSettings = settings();
+        TreeMap<Long, Integer> sendCountsByTime = new TreeMap<>();
+        for (int i = 0; i < PROXY_COUNT; i++) {
+            for (long sentAtUs : loadOf(routerSettings, 1, 7 + i, true).sentToWarmingAtUs) {
+                sendCountsByTime.merge(sentAtUs, 1, Integer::sum);
             }
         }
         List<Long> sends = new ArrayList<>();
-        all.forEach((at, count) -> {
+        sendCountsByTime.forEach((sentAtUs, count) -> {
             for (int i = 0; i < count; i++) {
-                sends.add(at);
+                sends.add(sentAtUs);
             }
         });
-        assertWithin(s, 1, 1, sends);
+        assertWithin(routerSettings, 1, 1, sends);
     }
 
-    /** A list that repeats an endpoint with the same start must not grant new permits. */
+    /** A list that repeats an endpoint with the same start time must not reset its permits. */
     @Test
-    void aRepeatedListEntryGrantsNoMorePermits() {
-        RoutingSettings s = settings();
-        long[] keys = coldKeys(s, 1, 1000);
-        Load load = new Load(s, 1, 7);
+    void repeatedListEntryGrantsNoMorePermits() {
+        RoutingSettings routerSettings = settings();
+        long[] keys = keysOfWarmingEndpoint(routerSettings, 1, 1000);
+        ProxyLoad load = new ProxyLoad(routerSettings, 1, 7);
         for (int i = 0; i < keys.length; i++) {
-            load.router.onEndpointList(i * 10 * MS, EndpointListKind.FULL, nodes(1), NODES, load.out);
-            load.ask(i * 10 * MS, i, keys[i], true);
+            load.router.onEndpointList(i * 10 * MS, EndpointListKind.FULL, endpoints(1), ENDPOINT_COUNT, load.fixture);
+            load.handleRequest(i * 10 * MS, i, keys[i], true);
         }
-        assertWithin(s, 1, 1.0 / ROUTERS, load.toCold);
+        assertWithin(routerSettings, 1, 1.0 / PROXY_COUNT, load.sentToWarmingAtUs);
     }
 
     /** A limit that is too low would keep the endpoint from warming up. */
     @Test
-    void anOrdinaryLoadStillWarmsIt() {
-        RoutingSettings s = settings();
-        Load load = new Load(s, 1, 7);
+    void ordinaryLoadStillReachesWarmingEndpoint() {
+        RoutingSettings routerSettings = settings();
+        ProxyLoad load = new ProxyLoad(routerSettings, 1, 7);
         java.util.Random random = new java.util.Random(1);
-        int perS = (int) (QUOTA / ROUTERS);
-        for (int i = 0; i < 30 * perS; i++) {
-            load.ask(i * S / perS, i, random.nextLong() | 1, false);
+        int requestsPerSecond = (int) (TOTAL_QUOTA_PER_SECOND / PROXY_COUNT);
+        for (int i = 0; i < 30 * requestsPerSecond; i++) {
+            load.handleRequest(i * S / requestsPerSecond, i, random.nextLong() | 1, false);
         }
-        long early = load.toCold.stream().filter(at -> at < 10 * S).count();
-        long late = load.toCold.stream().filter(at -> at > 24 * S).count();
-        assertTrue(early >= 3, "in the first 10 s: " + early);
-        assertTrue(late >= 6 * perS / NODES / 2, "in 6 s once it is warm: " + late);
-        assertWithin(s, 1, 1.0 / ROUTERS, load.toCold);
+        long earlyCount = load.sentToWarmingAtUs.stream().filter(sentAtUs -> sentAtUs < 10 * S).count();
+        long lateCount = load.sentToWarmingAtUs.stream().filter(sentAtUs -> sentAtUs > 24 * S).count();
+        assertTrue(earlyCount >= 3, "in the first 10 s: " + earlyCount);
+        assertTrue(lateCount >= 6 * requestsPerSecond / ENDPOINT_COUNT / 2, "in 6 s after warming up: " + lateCount);
+        assertWithin(routerSettings, 1, 1.0 / PROXY_COUNT, load.sentToWarmingAtUs);
     }
 
     /** The limit applies only while the endpoint warms up. */
     @Test
-    void aWarmNodeGetsAllThatFallsToIt() {
-        RoutingSettings s = settings();
-        long[] keys = coldKeys(s, 1, 1000);
-        Load load = new Load(s, 1, 7);
+    void warmEndpointGetsAllRequestsForItsKeys() {
+        RoutingSettings routerSettings = settings();
+        long[] keys = keysOfWarmingEndpoint(routerSettings, 1, 1000);
+        ProxyLoad load = new ProxyLoad(routerSettings, 1, 7);
         for (int i = 0; i < keys.length; i++) {
-            load.ask(24 * S + i * 10 * MS, i, keys[i], false);
+            load.handleRequest(24 * S + i * 10 * MS, i, keys[i], false);
         }
-        assertTrue(load.toCold.size() > 900, load.toCold.size() + " of 1000");
+        assertTrue(load.sentToWarmingAtUs.size() > 900, load.sentToWarmingAtUs.size() + " of 1000");
     }
 }
--- a/proxy/src/test/java/cacheproxy/routing/TenantQuotaTest.java
+++ b/proxy/src/test/java/cacheproxy/routing/TenantQuotaTest.java
@@ -10,128 +10,133 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /**
- * The balance of rejections, steps and decay: endpoints that fail every request beyond their capacity, one tenant at
- * three times its quota and four within theirs. The capacity is 1.15 times all quotas, so that no request within a
- * quota has to be rejected.
+ * The equilibrium of rejections, steps and decay under overload: endpoints fail every request beyond their capacity,
+ * one tenant requests three times its quota and four stay within theirs. The capacity is 1.15 times the sum of all
+ * quotas, so that no request within a quota has to be rejected.
  */
 class TenantQuotaTest {
     private static final long MS = Fixture.MS;
     private static final long S = Fixture.S;
     private static final int SEEDS = 40;
-    private static final double[] QUOTA = {43, 14, 14, 14, 14};
-    private static final double[] USE = {3, 0.8, 0.8, 0.8, 0.8};
-    private static final double CAPACITY = 1.15 * 99;
-    private static final long LEARNS_US = 10 * S;
+    private static final double[] QUOTA_PER_SECOND = {43, 14, 14, 14, 14};
+    private static final double[] DEMAND_TO_QUOTA = {3, 0.8, 0.8, 0.8, 0.8};
+    private static final double CAPACITY_PER_SECOND = 1.15 * 99;
+    private static final long MEASURED_FROM_US = 10 * S;
     private static final long ENDS_US = 40 * S;
 
-    /** After the first 10 s, by tenant: requests, served and failed. */
-    private static final class Balance {
-        final double[] asked = new double[QUOTA.length];
-        final double[] served = new double[QUOTA.length];
+    /** Counts after the first 10 s: requests and served requests by tenant, sent and failed requests of all. */
+    private static final class Totals {
+        final double[] requested = new double[QUOTA_PER_SECOND.length];
+        final double[] served = new double[QUOTA_PER_SECOND.length];
         double failed;
         double sent;
 
-        /** Served, of the requests within the quota. */
-        double within(int tenant) {
-            return served[tenant] / Math.min(asked[tenant], QUOTA[tenant] * (ENDS_US - LEARNS_US) / S);
+        /** Served requests as a share of those that the quota covers. */
+        double servedQuotaShare(int tenant) {
+            return served[tenant] / Math.min(
+                    requested[tenant], QUOTA_PER_SECOND[tenant] * (ENDS_US - MEASURED_FROM_US) / S);
         }
     }
 
-    private static RoutingSettings settings(double lateWorth) {
-        RoutingSettings s = Fixture.settings(Idempotency.IDEMPOTENT);
-        s.proxyCount = 1;
-        s.hedgingAllowed = false;
-        s.maxAttempts = 1;
-        s.overQuotaValue = 0.05;
-        s.requestClasses[0].lateResponseValue = lateWorth;
-        s.tenants = new TenantQuota[QUOTA.length];
-        for (int i = 0; i < QUOTA.length; i++) {
-            s.tenants[i] = new TenantQuota();
-            s.tenants[i].requestsPerSecond = QUOTA[i];
+    private static RoutingSettings settings(double lateResponseValue) {
+        RoutingSettings routerSettings = Fixture.settings(Idempotency.IDEMPOTENT);
+        routerSettings.proxyCount = 1;
+        routerSettings.hedgingAllowed = false;
+        routerSettings.maxAttempts = 1;
+        routerSettings.overQuotaValue = 0.05;
+        routerSettings.requestClasses[0].lateResponseValue = lateResponseValue;
+        routerSettings.tenants = new TenantQuota[QUOTA_PER_SECOND.length];
+        for (int i = 0; i < QUOTA_PER_SECOND.length; i++) {
+            routerSettings.tenants[i] = new TenantQuota();
+            routerSettings.tenants[i].requestsPerSecond = QUOTA_PER_SECOND[i];
         }
-        return s;
+        return routerSettings;
     }
 
-    private static Balance run(long seed, double lateWorth) {
-        return run(seed, lateWorth, false, 0);
+    private static Totals run(long seed, double lateResponseValue) {
+        return run(seed, lateResponseValue, false, 0);
     }
 
     /**
-     * {@code marks}: the first tenant marks all its requests as retries; {@code hasty}: requests a second with an
-     * unmeetable deadline in the second tenant's name.
+     * {@code marksRetries}: the first tenant marks all its requests as retries; {@code unmeetablePerSecond}: requests a
+     * second with an unmeetable deadline that are sent in the second tenant's name.
      */
-    private static Balance run(long seed, double lateWorth, boolean marks, double hasty) {
-        Fixture f = new Fixture();
-        FairRouter router = f.router(settings(lateWorth), seed, Fixture.nodes(10));
+    private static Totals run(long seed, double lateResponseValue, boolean marksRetries, double unmeetablePerSecond) {
+        Fixture fixture = new Fixture();
+        FairRouter router = fixture.router(settings(lateResponseValue), seed, Fixture.endpoints(10));
         SplittableRandom random = new SplittableRandom(seed);
-        Balance b = new Balance();
+        Totals totals = new Totals();
         double rate = 0;
-        for (int i = 0; i < QUOTA.length; i++) {
-            rate += QUOTA[i] * USE[i];
+        for (int i = 0; i < QUOTA_PER_SECOND.length; i++) {
+            rate += QUOTA_PER_SECOND[i] * DEMAND_TO_QUOTA[i];
         }
-        double load = 0;
-        long last = 0;
+        double recentLoad = 0;
+        long lastUs = 0;
         long id = 0;
-        long nextHasty = hasty == 0 ? Long.MAX_VALUE : 0;
-        for (long now = 0; now < ENDS_US; now += (long) (-Math.log(1 - random.nextDouble()) / rate * S)) {
-            for (; nextHasty < now; nextHasty += (long) (S / hasty)) {
-                RoutingRequest q = Fixture.request(++id, random.nextLong(), nextHasty + 20 * MS);
-                q.tenant = 1;
-                f.sent.clear();
-                router.onRequest(nextHasty, q, f);
-                if (!f.sent.isEmpty()) {
-                    f.outcome(router, nextHasty, id, 0, AttemptOutcome.CANCELLED); // an unmeetable deadline
+        long nextUnmeetableUs = unmeetablePerSecond == 0 ? Long.MAX_VALUE : 0;
+        for (long nowUs = 0; nowUs < ENDS_US; nowUs += (long) (-Math.log(1 - random.nextDouble()) / rate * S)) {
+            for (; nextUnmeetableUs < nowUs; nextUnmeetableUs += (long) (S / unmeetablePerSecond)) {
+                RoutingRequest request = Fixture.request(++id, random.nextLong(), nextUnmeetableUs + 20 * MS);
+                request.tenant = 1;
+                fixture.sent.clear();
+                router.onRequest(nextUnmeetableUs, request, fixture);
+                if (!fixture.sent.isEmpty()) {
+                    fixture.outcome(router, nextUnmeetableUs, id, 0, AttemptOutcome.CANCELLED); // cannot be in time
                 }
             }
             int tenant = 0;
-            for (double x = random.nextDouble() * rate; (x -= QUOTA[tenant] * USE[tenant]) > 0; ) {
+            for (double draw = random.nextDouble() * rate;
+                    (draw -= QUOTA_PER_SECOND[tenant] * DEMAND_TO_QUOTA[tenant]) > 0; ) {
                 tenant++;
             }
-            RoutingRequest q = Fixture.request(++id, random.nextLong(), now + 600 * MS);
-            q.tenant = tenant;
-            q.clientRetry = marks && tenant == 0;
-            f.sent.clear();
-            f.timers.clear();
-            f.all.clear();
-            router.onRequest(now, q, f);
-            boolean counts = now >= LEARNS_US;
-            b.asked[tenant] += counts ? 1 : 0;
-            // requests in the last second; those beyond the capacity fail
-            load *= Math.exp((last - now) / (double) S);
-            last = now;
-            if (f.sent.isEmpty()) {
+            RoutingRequest request = Fixture.request(++id, random.nextLong(), nowUs + 600 * MS);
+            request.tenant = tenant;
+            request.clientRetry = marksRetries && tenant == 0;
+            fixture.sent.clear();
+            fixture.timers.clear();
+            fixture.actions.clear();
+            router.onRequest(nowUs, request, fixture);
+            boolean measured = nowUs >= MEASURED_FROM_US;
+            totals.requested[tenant] += measured ? 1 : 0;
+            // decaying count of the requests in the last second; those beyond the capacity fail
+            recentLoad *= Math.exp((lastUs - nowUs) / (double) S);
+            lastUs = nowUs;
+            if (fixture.sent.isEmpty()) {
                 continue;
             }
-            load += 1;
-            boolean fails = random.nextDouble() < 1 - CAPACITY / load;
-            b.sent += counts ? 1 : 0;
-            b.failed += counts && fails ? 1 : 0;
-            b.served[tenant] += counts && !fails ? 1 : 0;
-            f.outcome(router, now, id, 0, fails ? AttemptOutcome.TIMEOUT : AttemptOutcome.OK);
+            recentLoad += 1;
+            boolean fails = random.nextDouble() < 1 - CAPACITY_PER_SECOND / recentLoad;
+            totals.sent += measured ? 1 : 0;
+            totals.failed += measured && fails ? 1 : 0;
+            totals.served[tenant] += measured && !fails ? 1 : 0;
+            fixture.outcome(router, nowUs, id, 0, fails ? AttemptOutcome.TIMEOUT : AttemptOutcome.OK);
         }
-        return b;
+        return totals;
     }
 
-    /** At the balance, tenants within their quota must not see a sixth of their requests fail. */
+    /** Guards against an equilibrium in which a sixth of the requests of tenants within their quota fail. */
     @ParameterizedTest
     @ValueSource(doubles = {0, 0.5})
-    void tenantsWithinTheirQuotaAreServedWithFewFailures(double lateWorth) {
+    void servesTenantsWithinTheirQuotaWithFewFailures(double lateResponseValue) {
         double failed = 0;
         double sent = 0;
-        double[] within = new double[QUOTA.length];
+        double[] servedQuotaShare = new double[QUOTA_PER_SECOND.length];
         for (long seed = 1; seed <= SEEDS; seed++) {
-            Balance b = run(seed, lateWorth);
-            failed += b.failed;
-            sent += b.sent;
-            for (int i = 0; i < within.length; i++) {
-                within[i] += b.within(i) / SEEDS;
-                assertTrue(b.within(i) > 0.75, "seed " + seed + ", tenant " + i + ": " + b.within(i));
+            Totals totals = run(seed, lateResponseValue);
+            failed += totals.failed;
+            sent += totals.sent;
+            for (int i = 0; i < servedQuotaShare.length; i++) {
+                servedQuotaShare[i] += totals.servedQuotaShare(i) / SEEDS;
+                assertTrue(
+                        totals.servedQuotaShare(i) > 0.75,
+                        "seed " + seed + ", tenant " + i + ": " + totals.servedQuotaShare(i));
             }
         }
-        assertTrue(failed / sent < 0.08, failed / sent + " of what was sent failed");
-        assertTrue(within[0] > 0.9, "the one beyond its quota had of it " + within[0]);
-        for (int i = 1; i < within.length; i++) {
-            assertTrue(within[i] > 0.9, "tenant " + i + " had " + within[i]);
+        assertTrue(failed / sent < 0.08, failed / sent + " of the sent requests failed");
+        assertTrue(
+                servedQuotaShare[0] > 0.9, "share of its quota served to the tenant over it: " + servedQuotaShare[0]);
+        for (int i = 1; i < servedQuotaShare.length; i++) {
+            assertTrue(servedQuotaShare[i] > 0.9, "share served to tenant " + i + ": " + servedQuotaShare[i]);
         }
     }
 
@@ -141,110 +146,128 @@
      */
     @Test
     void neitherRetryMarksNorUnmeetableDeadlinesHarmOtherTenants() {
-        double[] marked = new double[QUOTA.length];
-        double[] named = new double[QUOTA.length];
+        double[] besideMarkedRetries = new double[QUOTA_PER_SECOND.length];
+        double[] besideUnmeetable = new double[QUOTA_PER_SECOND.length];
         for (long seed = 1; seed <= SEEDS; seed++) {
-            Balance m = run(seed, 0.5, true, 0);
-            Balance h = run(seed, 0.5, false, 100);
-            for (int i = 0; i < QUOTA.length; i++) {
-                marked[i] += m.within(i) / SEEDS;
-                named[i] += h.within(i) / SEEDS;
+            Totals markedTotals = run(seed, 0.5, true, 0);
+            Totals unmeetableTotals = run(seed, 0.5, false, 100);
+            for (int i = 0; i < QUOTA_PER_SECOND.length; i++) {
+                besideMarkedRetries[i] += markedTotals.servedQuotaShare(i) / SEEDS;
+                besideUnmeetable[i] += unmeetableTotals.servedQuotaShare(i) / SEEDS;
             }
         }
-        for (int i = 1; i < QUOTA.length; i++) {
-            assertTrue(marked[i] > 0.9, "beside one that marks all, tenant " + i + " had " + marked[i]);
-            assertTrue(named[i] > 0.9, "with its name used for 20 ms, tenant " + i + " had " + named[i]);
+        for (int i = 1; i < QUOTA_PER_SECOND.length; i++) {
+            assertTrue(
+                    besideMarkedRetries[i] > 0.9,
+                    "beside a tenant that marks all requests, tenant " + i + ": " + besideMarkedRetries[i]);
+            assertTrue(
+                    besideUnmeetable[i] > 0.9,
+                    "beside requests with deadlines of 20 ms, tenant " + i + ": " + besideUnmeetable[i]);
         }
     }
 
-    /** Late responses without value must be rarer than those that keep half of it. */
+    /** Failures must be rarer where late responses have no value than where they keep half of it. */
     @Test
     void fewerRequestsFailWhereLateResponsesHaveNoValue() {
-        double worthless = 0;
-        double half = 0;
+        double failedWithoutLateValue = 0;
+        double failedWithHalfLateValue = 0;
         for (long seed = 1; seed <= SEEDS; seed++) {
-            Balance none = run(seed, 0);
-            Balance some = run(seed, 0.5);
-            worthless += none.failed / none.sent / SEEDS;
-            half += some.failed / some.sent / SEEDS;
+            Totals withoutLateValue = run(seed, 0);
+            Totals withHalfLateValue = run(seed, 0.5);
+            failedWithoutLateValue += withoutLateValue.failed / withoutLateValue.sent / SEEDS;
+            failedWithHalfLateValue += withHalfLateValue.failed / withHalfLateValue.sent / SEEDS;
         }
-        assertTrue(worthless < 0.8 * half, worthless + " and " + half);
+        assertTrue(
+                failedWithoutLateValue < 0.8 * failedWithHalfLateValue,
+                failedWithoutLateValue + " and " + failedWithHalfLateValue);
     }
 
-    /** The rejection probability after one failure of a tenant that sends so many requests a second for 20 s. */
-    private static double chanceAfterOneFailure(int tenant, double perSecond, double lateWorth) {
-        int refused = 0;
-        long failsAt = 20 * S;
-        long every = (long) (S / perSecond);
+    /** The rejection probability after one failure of a tenant that has sent requests at this rate for 20 s. */
+    private static double rejectionProbabilityAfterOneFailure(int tenant, double perSecond, double lateResponseValue) {
+        int rejectedCount = 0;
+        long failsAtUs = 20 * S;
+        long intervalUs = (long) (S / perSecond);
         for (int seed = 1; seed <= 100; seed++) {
-            Fixture f = new Fixture();
-            FairRouter router = f.router(settings(lateWorth), seed, Fixture.nodes(10));
+            Fixture fixture = new Fixture();
+            FairRouter router = fixture.router(settings(lateResponseValue), seed, Fixture.endpoints(10));
             long id = 0;
-            for (long now = every; now <= failsAt; now += every) {
-                RoutingRequest q = Fixture.request(++id, SplitMix64.mix(id), now + S);
-                q.tenant = tenant;
-                router.onRequest(now, q, f);
-                f.outcome(router, now, id, 0, now + every <= failsAt ? AttemptOutcome.OK : AttemptOutcome.TIMEOUT);
+            for (long nowUs = intervalUs; nowUs <= failsAtUs; nowUs += intervalUs) {
+                RoutingRequest request = Fixture.request(++id, SplitMix64.mix(id), nowUs + S);
+                request.tenant = tenant;
+                router.onRequest(nowUs, request, fixture);
+                fixture.outcome(
+                        router,
+                        nowUs,
+                        id,
+                        0,
+                        nowUs + intervalUs <= failsAtUs ? AttemptOutcome.OK : AttemptOutcome.TIMEOUT);
             }
-            f.rejected.clear();
+            fixture.rejected.clear();
             for (int i = 0; i < 50; i++) {
-                RoutingRequest q = Fixture.request(++id, SplitMix64.mix(id), failsAt + S);
-                q.tenant = tenant;
-                router.onRequest(failsAt, q, f);
+                RoutingRequest request = Fixture.request(++id, SplitMix64.mix(id), failsAtUs + S);
+                request.tenant = tenant;
+                router.onRequest(failsAtUs, request, fixture);
             }
-            refused += f.rejected.size();
+            rejectedCount += fixture.rejected.size();
         }
-        return refused / (100 * 50.0);
+        return rejectedCount / (100 * 50.0);
     }
 
-    /** A failure of a tenant far over its quota raises the probability by much, but not below the quota. */
+    /** A failure of a tenant far over its quota takes a large step, but not one that rejects below the quota. */
     @Test
-    void aFailureCountsForMoreDownToTheQuota() {
-        double little = chanceAfterOneFailure(0, 43, 0);
-        double much = chanceAfterOneFailure(0, 3 * 43, 0);
-        assertEquals(0.54, much, 0.03, "ten times a step of 1 / (115 x 0.16)");
-        assertTrue(little < 0.2, "at its quota: " + little);
-        assertEquals(0.48, chanceAfterOneFailure(0, 2 * 43, 0), 0.03, "twice the quota: down to it in one step");
+    void failureOfTenantOverQuotaRejectsDownToItsQuota() {
+        double atQuota = rejectionProbabilityAfterOneFailure(0, 43, 0);
+        double atThreeTimesQuota = rejectionProbabilityAfterOneFailure(0, 3 * 43, 0);
+        assertEquals(0.54, atThreeTimesQuota, 0.03, "ten times a step of 1 / (115 x 0.16)");
+        assertTrue(atQuota < 0.2, "at its quota: " + atQuota);
+        assertEquals(
+                0.48,
+                rejectionProbabilityAfterOneFailure(0, 2 * 43, 0),
+                0.03,
+                "at twice the quota one step rejects down to the quota");
     }
 
-    /** The quota is 140 in the observed time: a demand of 150 is within the uncertainty. */
+    /** The quota is 140 requests in the observed time, and a demand of 150 is within the uncertainty. */
     @Test
     void demandWithinTheUncertaintyIsNotOverTheQuota() {
-        double chance = chanceAfterOneFailure(1, 15, 0.5);
-        assertTrue(chance < 0.045, "one step of 0.03, not up to the 0.067 beyond: " + chance);
+        double probability = rejectionProbabilityAfterOneFailure(1, 15, 0.5);
+        assertTrue(probability < 0.045, "one step of 0.03, not the excess of 0.067: " + probability);
     }
 
-    /** A proxy that just started detects it after a second, although it counts over ten. */
+    /** Counts cover 10 s, yet a proxy that just started must detect a tenant over its quota after 1 s. */
     @Test
-    void aProxyThatJustStartedDetectsTenantsOverTheirQuota() {
-        double refused = 0;
-        double asked = 0;
+    void detectsTenantOverItsQuotaSoonAfterStart() {
+        double rejectedCount = 0;
+        double requested = 0;
         for (int seed = 1; seed <= 100; seed++) {
-            Fixture f = new Fixture();
-            FairRouter router = f.router(settings(0), seed, Fixture.nodes(10));
+            Fixture fixture = new Fixture();
+            FairRouter router = fixture.router(settings(0), seed, Fixture.endpoints(10));
             for (int i = 1; i <= 3 * 43 * 2; i++) {
-                long now = (long) (i * S / (3 * 43.0));
-                f.sent.clear();
-                router.onRequest(now, Fixture.request(i, SplitMix64.mix(i), now + S), f);
-                if (now > S) {
-                    asked += 1;
-                    refused += f.sent.isEmpty() ? 1 : 0;
+                long nowUs = (long) (i * S / (3 * 43.0));
+                fixture.sent.clear();
+                router.onRequest(nowUs, Fixture.request(i, SplitMix64.mix(i), nowUs + S), fixture);
+                if (nowUs > S) {
+                    requested += 1;
+                    rejectedCount += fixture.sent.isEmpty() ? 1 : 0;
                 }
-                if (!f.sent.isEmpty()) {
-                    f.outcome(router, now, i, 0, i % 20 == 0 ? AttemptOutcome.TIMEOUT : AttemptOutcome.OK);
+                if (!fixture.sent.isEmpty()) {
+                    fixture.outcome(router, nowUs, i, 0, i % 20 == 0 ? AttemptOutcome.TIMEOUT : AttemptOutcome.OK);
                 }
             }
         }
-        assertTrue(refused / asked > 0.4, "of the second second " + refused / asked + " with one failure in twenty");
+        assertTrue(
+                rejectedCount / requested > 0.4,
+                "share rejected in the second second: " + rejectedCount / requested + " with one failure in twenty");
     }
 
     @Test
-    void theGeneratedLoadIsAsSpecified() {
-        assertTrue(Arrays.stream(QUOTA).sum() < CAPACITY, "all quotas fit");
-        double asked = 0;
-        for (int i = 0; i < QUOTA.length; i++) {
-            asked += QUOTA[i] * USE[i];
+    void quotasFitTheCapacityAndTheDemandDoesNot() {
+        assertTrue(
+                Arrays.stream(QUOTA_PER_SECOND).sum() < CAPACITY_PER_SECOND, "the sum of all quotas fits the capacity");
+        double requested = 0;
+        for (int i = 0; i < QUOTA_PER_SECOND.length; i++) {
+            requested += QUOTA_PER_SECOND[i] * DEMAND_TO_QUOTA[i];
         }
-        assertTrue(asked > 1.3 * CAPACITY, "and all that is asked does not");
+        assertTrue(requested > 1.3 * CAPACITY_PER_SECOND, "the whole demand exceeds the capacity");
     }
 }
