--- a/proxy/src/test/java/cacheproxy/KnownRedTest.java
+++ b/proxy/src/test/java/cacheproxy/KnownRedTest.java
@@ -10,41 +10,45 @@
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
 
-/** What the check reads from KNOWN-RED.txt. Danger: a line that it misreads lets a test fail unseen. */
+/**
+ * How the script .ci/known-red parses KNOWN-RED.txt. Guards against an entry that the script misreads, so that a
+ * failing test goes unnoticed.
+ */
 @Timeout(60)
 class KnownRedTest {
-    private static final String LINE = "cacheproxy.server.ATest#aMethod, the loop is late, issue 30\n";
+    private static final String ENTRY = "cacheproxy.server.ATest#aMethod, the loop is late, issue 30\n";
 
     @TempDir
     Path folder;
 
-    private String names(String text) throws IOException, InterruptedException {
-        Path file = Files.writeString(folder.resolve("red"), text);
-        Process p = new ProcessBuilder("../.ci/known-red", "names", file.toString())
+    private String runNames(String text) throws IOException, InterruptedException {
+        Path knownRedFile = Files.writeString(folder.resolve("red"), text);
+        Process process = new ProcessBuilder("../.ci/known-red", "names", knownRedFile.toString())
                 .redirectErrorStream(true)
                 .start();
-        String said = new String(p.getInputStream().readAllBytes(), StandardCharsets.UTF_8).replace(file + ": ", "");
-        return p.waitFor() + " " + said;
+        String output = new String(process.getInputStream().readAllBytes(), StandardCharsets.UTF_8)
+                .replace(knownRedFile + ": ", "");
+        return process.waitFor() + " " + output;
     }
 
     @Test
-    void namesItsTests() throws Exception {
-        assertEquals("0 ", names(""));
-        assertEquals("0 cacheproxy.server.ATest#aMethod\n", names(LINE));
-        assertEquals("0 cacheproxy.server.ATest#aMethod\n", names(LINE.strip()));
-        assertEquals("0 " + "cacheproxy.server.ATest#aMethod\n".repeat(3), names(LINE.repeat(3)));
+    void printsTheTestNameOfEachEntry() throws Exception {
+        assertEquals("0 ", runNames(""));
+        assertEquals("0 cacheproxy.server.ATest#aMethod\n", runNames(ENTRY));
+        assertEquals("0 cacheproxy.server.ATest#aMethod\n", runNames(ENTRY.strip()));
+        assertEquals("0 " + "cacheproxy.server.ATest#aMethod\n".repeat(3), runNames(ENTRY.repeat(3)));
     }
 
     @Test
-    void aFourthLineIsRefused() throws Exception {
+    void rejectsFourthEntry() throws Exception {
         assertEquals(
                 "1 " + "cacheproxy.server.ATest#aMethod\n".repeat(3) + "line 4: three are the most\n",
-                names(LINE.repeat(4)));
+                runNames(ENTRY.repeat(4)));
     }
 
     @Test
-    void aLineWithoutTestCauseAndIssueIsRefused() throws Exception {
-        for (String bad : new String[] {
+    void rejectsEntryWithoutTestCauseOrIssue() throws Exception {
+        for (String invalidEntry : new String[] {
             "",
             "ATest",
             "cacheproxy.routing.ATest, why, issue 3",
@@ -54,7 +58,9 @@
             "cacheproxy.routing.A*#a, why, issue 3",
             "A#a, why, issue 3"
         }) {
-            assertEquals("1 line 1: not 'package.Class#method, cause, issue N': " + bad + "\n", names(bad + "\n"));
+            assertEquals(
+                    "1 line 1: not 'package.Class#method, cause, issue N': " + invalidEntry + "\n",
+                    runNames(invalidEntry + "\n"));
         }
     }
 }
