--- a/proxy/src/test/java/cacheproxy/routing/BoundaryConditionsTest.java
+++ b/proxy/src/test/java/cacheproxy/routing/BoundaryConditionsTest.java
@@ -67,9 +67,9 @@
             FairRouter router = fixture.router(settings, seed, Fixture.endpoints(8));
             for (int i = 0; i < 100; i++) {
                 long nowUs = i * 20 * MS;
-                int countBefore = fixture.sent.size();
+                int sentBefore = fixture.sent.size();
                 router.onRequest(nowUs, Fixture.request(i, SplitMix64.mix(i), nowUs + S), fixture);
-                if (fixture.sent.size() > countBefore) {
+                if (fixture.sent.size() > sentBefore) {
                     router.onOutcome(
                             nowUs + latencyUs,
                             i,
@@ -82,11 +82,11 @@
                             fixture);
                 }
             }
-            int countBefore = fixture.rejected.size();
+            int rejectedBefore = fixture.rejected.size();
             for (int i = 200; i < 400; i++) {
                 router.onRequest(3 * S, Fixture.request(i, SplitMix64.mix(i), 4 * S), fixture);
             }
-            rejectedCount += fixture.rejected.size() - countBefore;
+            rejectedCount += fixture.rejected.size() - rejectedBefore;
         }
         return rejectedCount;
     }
@@ -132,9 +132,9 @@
         int sentToWarming = 0;
         for (int i = 2000; i < 2400; i++) {
             long nowUs = 20 * S + (i - 2000) * 10 * MS;
-            int countBefore = fixture.sent.size();
+            int sentBefore = fixture.sent.size();
             router.onRequest(nowUs, Fixture.request(i, SplitMix64.mix(i), nowUs + S), fixture);
-            if (fixture.sent.size() > countBefore) {
+            if (fixture.sent.size() > sentBefore) {
                 sentToWarming += fixture.lastEndpoint() == 1 ? 1 : 0;
                 endAttempt(fixture, router, nowUs, i, 0, AttemptOutcome.OK);
             }
@@ -162,11 +162,11 @@
             FairRouter router = fixture.router(settings, seed, Fixture.endpoints(4));
             for (int i = 0; i < 300; i++) {
                 long nowUs = i * 100 * MS;
-                int countBefore = fixture.sent.size();
+                int sentBefore = fixture.sent.size();
                 RoutingRequest request = Fixture.request(i, SplitMix64.mix(1000 * seed + i), nowUs + S);
                 request.tenant = i % 2;
                 router.onRequest(nowUs, request, fixture);
-                for (int attempt = 0; fixture.sent.size() > countBefore + attempt; attempt++) {
+                for (int attempt = 0; fixture.sent.size() > sentBefore + attempt; attempt++) {
                     boolean atFailingEndpoint = fixture.lastEndpoint() == 1;
                     sentToFailingEndpoint += atFailingEndpoint && i >= 100 ? 1 : 0;
                     boolean fails = atFailingEndpoint && i % 2 == 0;
@@ -203,10 +203,10 @@
             FairRouter router = fixture.router(Fixture.settings(Idempotency.IDEMPOTENT), 1, Fixture.endpoints(1));
             for (int i = 0; i < 200; i++) {
                 long nowUs = i * 200 * MS;
-                int countBefore = fixture.sent.size();
+                int sentBefore = fixture.sent.size();
                 fixture.timers.clear();
                 router.onRequest(nowUs, Fixture.request(i, SplitMix64.mix(i), nowUs + S), fixture);
-                if (fixture.sent.size() == countBefore) {
+                if (fixture.sent.size() == sentBefore) {
                     rejectedCount[timersFired]++;
                 } else {
                     if (timersFired == 1) {
--- a/proxy/src/test/java/cacheproxy/routing/OutcomeLearningTest.java
+++ b/proxy/src/test/java/cacheproxy/routing/OutcomeLearningTest.java
@@ -151,11 +151,11 @@
         int outcomeIndex = 0;
         for (int i = 0; i < 300; i++) {
             long nowUs = i * intervalUs;
-            int countBefore = caseFixture.sent.size();
+            int sentBefore = caseFixture.sent.size();
             RoutingRequest request = Fixture.request(i, SplitMix64.mix(i + 1), nowUs + 10 * S);
             request.tenant = i % 2;
             router.onRequest(nowUs, request, caseFixture);
-            for (int attempt = 0; caseFixture.sent.size() > countBefore + attempt; attempt++) {
+            for (int attempt = 0; caseFixture.sent.size() > sentBefore + attempt; attempt++) {
                 boolean atFailingEndpoint = caseFixture.lastEndpoint() == 1;
                 sentToFailingEndpoint += atFailingEndpoint && i >= 200 ? 1 : 0;
                 AttemptOutcome outcome =
@@ -253,11 +253,11 @@
                         caseFixture.sent.stream()
                                 .filter(sentAttempt -> sentAttempt.request() == 200)
                                 .count());
-                int countBefore = caseFixture.rejected.size();
+                int rejectedBefore = caseFixture.rejected.size();
                 for (int i = 0; i < 100; i++) {
                     router.onRequest(10 * S, Fixture.request(++id, SplitMix64.mix(id), 11 * S), caseFixture);
                 }
-                rejectedSum += caseFixture.rejected.size() - countBefore;
+                rejectedSum += caseFixture.rejected.size() - rejectedBefore;
             }
             rejectedCount.add(rejectedSum);
         }
@@ -268,21 +268,21 @@
     private void failRequests(FairRouter router, int firstId, int count, long fromUs) {
         for (int i = 0; i < count; i++) {
             long nowUs = fromUs + i * 20 * MS;
-            int countBefore = fixture.sent.size();
+            int sentBefore = fixture.sent.size();
             router.onRequest(
                     nowUs, Fixture.request(firstId + i, SplitMix64.mix(firstId + i), nowUs + 600 * MS), fixture);
-            for (int attempt = 0; fixture.sent.size() > countBefore + attempt; attempt++) {
+            for (int attempt = 0; fixture.sent.size() > sentBefore + attempt; attempt++) {
                 fixture.outcome(router, nowUs, firstId + i, attempt, AttemptOutcome.TIMEOUT);
             }
         }
     }
 
     private int rejectedCount(FairRouter router, int firstId, int count, long nowUs) {
-        int countBefore = fixture.rejected.size();
+        int rejectedBefore = fixture.rejected.size();
         for (int i = firstId; i < firstId + count; i++) {
             router.onRequest(nowUs, Fixture.request(i, SplitMix64.mix(i), nowUs + 600 * MS), fixture);
         }
-        return fixture.rejected.size() - countBefore;
+        return fixture.rejected.size() - rejectedBefore;
     }
 
     /** Many proxies send trial requests to saturated endpoints, so each sends fewer after consecutive failures. */
--- a/proxy/src/test/java/cacheproxy/routing/SlowStartExclusionTest.java
+++ b/proxy/src/test/java/cacheproxy/routing/SlowStartExclusionTest.java
@@ -40,11 +40,11 @@
             Fixture fixture = new Fixture();
             FairRouter router = fixture.router(Fixture.settings(Idempotency.IDEMPOTENT), 1, endpoints(4));
             for (int i = 0; i < 60; i++) {
-                long now = 5 * S + i * 10 * MS;
-                router.onRequest(now, Fixture.request(i, key, now + S), fixture);
+                long nowUs = 5 * S + i * 10 * MS;
+                router.onRequest(nowUs, Fixture.request(i, key, nowUs + S), fixture);
                 assertEquals(i + 1, fixture.sent.size());
                 assertTrue(i < 5 || fixture.lastEndpoint() != WARMING_ENDPOINT, "key " + key + " at request " + i);
-                fixture.outcome(router, now + MS, i, 0, AttemptOutcome.OK);
+                fixture.outcome(router, nowUs + MS, i, 0, AttemptOutcome.OK);
             }
         }
     }
--- a/proxy/src/test/java/cacheproxy/routing/SlowStartRateTest.java
+++ b/proxy/src/test/java/cacheproxy/routing/SlowStartRateTest.java
@@ -104,8 +104,8 @@
             router = fixture.router(routerSettings, seed, endpoints(warmingWeight));
         }
 
-        private void countSends(int countBefore, long nowUs) {
-            for (Fixture.SentAttempt sent : fixture.sent.subList(countBefore, fixture.sent.size())) {
+        private void countSends(int sentBefore, long nowUs) {
+            for (Fixture.SentAttempt sent : fixture.sent.subList(sentBefore, fixture.sent.size())) {
                 if (sent.endpoint() == WARMING_ENDPOINT) {
                     sentToWarmingAtUs.add(nowUs);
                 } else {
@@ -116,10 +116,10 @@
 
         /** Handles a request at this time; 8 ms later its client disconnects or the endpoint responds. */
         void handleRequest(long nowUs, long id, long key, boolean clientDisconnects) {
-            int countBefore = fixture.sent.size();
+            int sentBefore = fixture.sent.size();
             router.onRequest(nowUs, Fixture.request(id, key, nowUs + 1500 * MS), fixture);
-            countSends(countBefore, nowUs);
-            boolean sent = fixture.sent.size() > countBefore;
+            countSends(sentBefore, nowUs);
+            boolean sent = fixture.sent.size() > sentBefore;
             long endUs = nowUs + 8 * MS;
             if (clientDisconnects) {
                 router.onClientGone(endUs, id, fixture);
