--- a/proxy/src/main/java/cacheproxy/routing/FairRouter.java
+++ b/proxy/src/main/java/cacheproxy/routing/FairRouter.java
@@ -3,10 +3,10 @@
 /**
  * The {@link RequestRouter} of cacheproxy. It keeps the requests in progress and composes the policies, each of which
  * makes one decision: {@link TenantAdmission} and {@link OriginAdmission} (admit or reject), {@link EndpointSelector}
- * (where to send), {@link RetryPolicy} and {@link RetryBudget} (whether to retry), {@link HedgingPolicy} (when to
- * send a second attempt), {@link DeadlinePolicy} (when to give up, Retry-After), {@link IdleTimeoutPolicy} (when to
- * close idle connections) and {@link DiscoveryPollPolicy} (when to subscribe to the endpoint list).
- * {@link OutcomeLearning} passes the outcomes of attempts to the policies that adapt to them.
+ * (where to send), {@link RetryPolicy} and {@link RetryBudget} (whether to retry), {@link HedgingPolicy} (when to send
+ * a second attempt), {@link DeadlinePolicy} (when to give up, Retry-After), {@link IdleTimeoutPolicy} (when to close
+ * idle connections) and {@link DiscoveryPollPolicy} (when to subscribe to the endpoint list). {@link OutcomeLearning}
+ * passes the outcomes of attempts to the policies that adapt to them.
  */
 public final class FairRouter implements RequestRouter {
     private static final int TIMER_KIND_BITS = 3;
--- a/proxy/src/main/java/cacheproxy/routing/SettingsText.java
+++ b/proxy/src/main/java/cacheproxy/routing/SettingsText.java
@@ -18,7 +18,9 @@
         for (String line : text.split("\n")) {
             int separatorIndex = line.indexOf('=');
             if (separatorIndex > 0) {
-                values.put(line.substring(0, separatorIndex), line.substring(separatorIndex + 1).strip());
+                values.put(
+                        line.substring(0, separatorIndex),
+                        line.substring(separatorIndex + 1).strip());
             } else if (!line.isBlank()) {
                 throw new InvalidInputException("settings line without '=': " + printable(line));
             }
--- a/proxy/src/test/java/cacheproxy/routing/FairRouterMechanismsTest.java
+++ b/proxy/src/test/java/cacheproxy/routing/FairRouterMechanismsTest.java
@@ -201,8 +201,10 @@
                 fixture.outcome(router, i * MS, i, attempt, AttemptOutcome.ERROR);
             }
         }
-        long requests =
-                fixture.sent.stream().mapToLong(Fixture.SentAttempt::request).distinct().count();
+        long requests = fixture.sent.stream()
+                .mapToLong(Fixture.SentAttempt::request)
+                .distinct()
+                .count();
         assertTrue(fixture.sent.size() - requests <= 2, fixture.sent.size() + " attempts for " + requests);
     }
 
@@ -373,8 +375,8 @@
         for (int seed = 1; seed <= 20; seed++) {
             for (int failuresSpread = 0; failuresSpread < 2; failuresSpread++) {
                 Fixture caseFixture = new Fixture();
-                FairRouter router = caseFixture.router(
-                        Fixture.settings(Idempotency.IDEMPOTENT), seed, Fixture.endpoints(8));
+                FairRouter router =
+                        caseFixture.router(Fixture.settings(Idempotency.IDEMPOTENT), seed, Fixture.endpoints(8));
                 for (int i = 0; i < 300; i++) {
                     long nowUs = i * 100 * MS;
                     int sentBefore = caseFixture.sent.size();
--- a/proxy/src/test/java/cacheproxy/routing/HighRequestRateTest.java
+++ b/proxy/src/test/java/cacheproxy/routing/HighRequestRateTest.java
@@ -58,7 +58,9 @@
                 fixture.outcome(router, nowUs + 98 * MS, i, 0, AttemptOutcome.OK);
             }
         }
-        long closedCount = fixture.actions.stream().filter(action -> action.startsWith("close")).count();
+        long closedCount = fixture.actions.stream()
+                .filter(action -> action.startsWith("close"))
+                .count();
         assertTrue(closedCount <= 2, "connections closed: " + closedCount);
     }
 }
--- a/proxy/src/test/java/cacheproxy/routing/OutcomeLearningTest.java
+++ b/proxy/src/test/java/cacheproxy/routing/OutcomeLearningTest.java
@@ -76,7 +76,8 @@
         int testedCount = 0;
         for (long key = 1; testedCount < 20; key++) {
             Fixture probeFixture = new Fixture();
-            probeFixture.router(Fixture.settings(Idempotency.IDEMPOTENT), 1, Fixture.endpoints(2))
+            probeFixture
+                    .router(Fixture.settings(Idempotency.IDEMPOTENT), 1, Fixture.endpoints(2))
                     .onRequest(0, Fixture.request(1, SplitMix64.mix(key), S), probeFixture);
             if (probeFixture.lastEndpoint() != 1) {
                 continue;
@@ -100,7 +101,8 @@
     private static long otherKeyOfEndpointOne(long offset) {
         for (long key = 1_000_000 + offset; ; key++) {
             Fixture caseFixture = new Fixture();
-            caseFixture.router(Fixture.settings(Idempotency.IDEMPOTENT), 1, Fixture.endpoints(2))
+            caseFixture
+                    .router(Fixture.settings(Idempotency.IDEMPOTENT), 1, Fixture.endpoints(2))
                     .onRequest(0, Fixture.request(1, SplitMix64.mix(key), S), caseFixture);
             if (caseFixture.lastEndpoint() == 1) {
                 return SplitMix64.mix(key);
@@ -194,8 +196,8 @@
     /** A success undoes a fifth of a failure, so a failure rate of one half must have an effect. */
     @Test
     void passesOverEndpointThatFailsHalfTheTimeSometimes() {
-        int sentWhenHalfFail = sentToFailingEndpoint(
-                100 * MS, MS, CacheResult.NONE, AttemptOutcome.ERROR, AttemptOutcome.OK);
+        int sentWhenHalfFail =
+                sentToFailingEndpoint(100 * MS, MS, CacheResult.NONE, AttemptOutcome.ERROR, AttemptOutcome.OK);
         int sentWhenNoneFail = sentToFailingEndpoint(100 * MS, MS, CacheResult.NONE, AttemptOutcome.OK);
         assertTrue(
                 sentWhenHalfFail < sentWhenNoneFail * 0.8 && sentWhenHalfFail > 5,
--- a/proxy/src/test/java/cacheproxy/routing/RandomEventSequencesTest.java
+++ b/proxy/src/test/java/cacheproxy/routing/RandomEventSequencesTest.java
@@ -150,7 +150,8 @@
                 }
                 endAttempt(dueAttempts.get(random.nextInt(dueAttempts.size())));
             }
-            List<long[]> dueTimers = timers.stream().filter(timer -> timer[0] <= untilUs).toList();
+            List<long[]> dueTimers =
+                    timers.stream().filter(timer -> timer[0] <= untilUs).toList();
             timers.removeAll(dueTimers);
             dueTimers.forEach(timer -> router.onTimer(untilUs, timer[1], this));
         }
@@ -218,9 +219,8 @@
             long latestEndUs = timeoutUs > 0
                     ? Math.min(nowUs + timeoutUs, state.request.deadlineAtUs)
                     : state.request.deadlineAtUs;
-            long endsAtUs = random.nextInt(12) == 0
-                    ? latestEndUs
-                    : Math.min(latestEndUs, nowUs + random.nextInt(300) * MS);
+            long endsAtUs =
+                    random.nextInt(12) == 0 ? latestEndUs : Math.min(latestEndUs, nowUs + random.nextInt(300) * MS);
             Attempt sentAttempt = new Attempt(request, state.attempts.size(), endpoint, nowUs, endsAtUs);
             state.attempts.add(sentAttempt);
             state.mayHaveRun.add(sentAttempt);
--- a/proxy/src/test/java/cacheproxy/routing/RoutingRulesTest.java
+++ b/proxy/src/test/java/cacheproxy/routing/RoutingRulesTest.java
@@ -47,8 +47,8 @@
             AttemptOutcome.ERROR, AttemptOutcome.TIMEOUT, AttemptOutcome.RESET, AttemptOutcome.CANCELLED
         }) {
             Fixture caseFixture = new Fixture();
-            FairRouter router = caseFixture.router(
-                    Fixture.settings(Idempotency.NOT_IDEMPOTENT), 1, Fixture.endpoints(6));
+            FairRouter router =
+                    caseFixture.router(Fixture.settings(Idempotency.NOT_IDEMPOTENT), 1, Fixture.endpoints(6));
             router.onRequest(0, Fixture.request(1, 42, 600 * MS), caseFixture);
             caseFixture.fireTimers(router, 150 * MS);
             caseFixture.outcome(router, 200 * MS, 1, 0, outcome);
@@ -75,8 +75,8 @@
         fixture.outcome(router, 500 * MS, 1, 0, AttemptOutcome.ERROR);
         assertEquals(2, fixture.sent.size());
         Fixture lateFixture = new Fixture();
-        FairRouter lateRouter = lateFixture.router(
-                Fixture.settings(Idempotency.IDEMPOTENCY_KEY), 1, Fixture.endpoints(6));
+        FairRouter lateRouter =
+                lateFixture.router(Fixture.settings(Idempotency.IDEMPOTENCY_KEY), 1, Fixture.endpoints(6));
         lateRouter.onRequest(0, Fixture.request(1, 42, 10 * S), lateFixture);
         lateFixture.outcome(lateRouter, 2 * S - 5 * MS, 1, 0, AttemptOutcome.ERROR);
         assertEquals(1, lateFixture.sent.size(), "less than two timer granularities of its window of 2 s are left");
@@ -109,7 +109,9 @@
             router.onRequest(0, Fixture.request(1, key, 600 * MS), caseFixture);
             caseFixture.outcome(router, MS, 1, 0, AttemptOutcome.RESET);
             for (int i = 1; i < caseFixture.sent.size(); i++) {
-                assertEquals(caseFixture.sent.get(0).endpoint() % 3, caseFixture.sent.get(i).endpoint() % 3);
+                assertEquals(
+                        caseFixture.sent.get(0).endpoint() % 3,
+                        caseFixture.sent.get(i).endpoint() % 3);
                 caseFixture.outcome(router, (i + 1) * MS, 1, i, AttemptOutcome.RESET);
             }
             assertEquals(0, caseFixture.rejected.size());
@@ -344,11 +346,13 @@
             RoutingRequest request = Fixture.request(i, 100 + i, S);
             request.tenant = i;
             router.onRequest(i * MS, request, fixture);
-            if (fixture.sent.isEmpty() || fixture.sent.get(fixture.sent.size() - 1).request() != i) {
+            if (fixture.sent.isEmpty()
+                    || fixture.sent.get(fixture.sent.size() - 1).request() != i) {
                 continue; // rejected for its tenant
             }
             router.onOutcome(i * MS, i, 0, AttemptOutcome.MISS, MS, false, CacheResult.MISS, new LoadReport(), fixture);
-            if (fixture.lastEndpoint() == 7 && fixture.sent.get(fixture.sent.size() - 1).request() == i) {
+            if (fixture.lastEndpoint() == 7
+                    && fixture.sent.get(fixture.sent.size() - 1).request() == i) {
                 sentToOrigin++;
                 fixture.outcome(router, i * MS, i, 1, AttemptOutcome.OVERLOADED);
             }
--- a/proxy/src/test/java/cacheproxy/routing/SettingsTextTest.java
+++ b/proxy/src/test/java/cacheproxy/routing/SettingsTextTest.java
@@ -60,11 +60,10 @@
         assertEquals(2, settings.zone);
         assertEquals(26, settings.proxyCount);
         assertEquals(6, settings.maxAttempts);
-        assertTrue(
-                settings.cancellationAllowed
-                        && !settings.hedgingAllowed
-                        && settings.cacheAside
-                        && settings.subscribeRequired);
+        assertTrue(settings.cancellationAllowed
+                && !settings.hedgingAllowed
+                && settings.cacheAside
+                && settings.subscribeRequired);
         assertEquals(3, settings.originKind);
         assertEquals(2_000_000, settings.maxRetryAfterUs);
         assertEquals(Idempotency.IDEMPOTENCY_KEY, settings.requestClasses[0].idempotency);
@@ -117,9 +116,8 @@
             "familyInfo.mode=sideways",
             "tickMs=-1"
         }) {
-            InvalidInputException e =
-                    assertThrows(
-                            InvalidInputException.class, () -> new SettingsText(invalidLine).settings(), invalidLine);
+            InvalidInputException e = assertThrows(
+                    InvalidInputException.class, () -> new SettingsText(invalidLine).settings(), invalidLine);
             assertTrue(e.getMessage().contains(invalidLine.substring(0, invalidLine.indexOf('='))), e.getMessage());
         }
         assertThrows(InvalidInputException.class, () -> new SettingsText("no equals sign"));
--- a/proxy/src/test/java/cacheproxy/routing/SlowStartRateTest.java
+++ b/proxy/src/test/java/cacheproxy/routing/SlowStartRateTest.java
@@ -227,8 +227,12 @@
         for (int i = 0; i < 30 * requestsPerSecond; i++) {
             load.handleRequest(i * S / requestsPerSecond, i, random.nextLong() | 1, false);
         }
-        long earlyCount = load.sentToWarmingAtUs.stream().filter(sentAtUs -> sentAtUs < 10 * S).count();
-        long lateCount = load.sentToWarmingAtUs.stream().filter(sentAtUs -> sentAtUs > 24 * S).count();
+        long earlyCount = load.sentToWarmingAtUs.stream()
+                .filter(sentAtUs -> sentAtUs < 10 * S)
+                .count();
+        long lateCount = load.sentToWarmingAtUs.stream()
+                .filter(sentAtUs -> sentAtUs > 24 * S)
+                .count();
         assertTrue(earlyCount >= 3, "in the first 10 s: " + earlyCount);
         assertTrue(lateCount >= 6 * requestsPerSecond / ENDPOINT_COUNT / 2, "in 6 s after warming up: " + lateCount);
         assertWithin(routerSettings, 1, 1.0 / PROXY_COUNT, load.sentToWarmingAtUs);
--- a/proxy/src/test/java/cacheproxy/routing/TenantQuotaTest.java
+++ b/proxy/src/test/java/cacheproxy/routing/TenantQuotaTest.java
@@ -33,8 +33,8 @@
 
         /** Served requests as a share of those that the quota covers. */
         double servedQuotaShare(int tenant) {
-            return served[tenant] / Math.min(
-                    requested[tenant], QUOTA_PER_SECOND[tenant] * (ENDS_US - MEASURED_FROM_US) / S);
+            return served[tenant]
+                    / Math.min(requested[tenant], QUOTA_PER_SECOND[tenant] * (ENDS_US - MEASURED_FROM_US) / S);
         }
     }
 
--- a/proxy/src/test/java/cacheproxy/simulator/WireTest.java
+++ b/proxy/src/test/java/cacheproxy/simulator/WireTest.java
@@ -153,16 +153,14 @@
     @Test
     void stopsAndRestartsInstanceWithinOneBatch() throws IOException {
         byte[] stopRecord = hex("13 00000004 00000003");
-        byte[] reply =
-                run(
-                        batch(
-                                1,
-                                startRecord(3, SETTINGS),
-                                hex(ENDPOINT_LIST),
-                                stopRecord,
-                                startRecord(3, SETTINGS),
-                                hex(ENDPOINT_LIST),
-                                hex(REQUEST)));
+        byte[] reply = run(batch(
+                1,
+                startRecord(3, SETTINGS),
+                hex(ENDPOINT_LIST),
+                stopRecord,
+                startRecord(3, SETTINGS),
+                hex(ENDPOINT_LIST),
+                hex(REQUEST)));
         assertEquals(1, ByteBuffer.wrap(reply).getInt(4), "only the attempt of the restarted instance");
         byte[] replyAfterStop = run(batch(1, startRecord(3, SETTINGS), hex(ENDPOINT_LIST), stopRecord, hex(REQUEST)));
         assertEquals(0, ByteBuffer.wrap(replyAfterStop).getInt(4), "a stopped instance requests no actions");
@@ -171,15 +169,13 @@
     @Test
     void otherInstancesDoNotAffectAnInstance() throws IOException {
         byte[] replyAlone = run(batch(1, startRecord(3, SETTINGS), hex(ENDPOINT_LIST), hex(REQUEST)));
-        byte[] replyBesideOthers =
-                run(
-                        batch(
-                                1,
-                                startRecord(8, SETTINGS),
-                                startRecord(3, SETTINGS),
-                                hex(ENDPOINT_LIST),
-                                startRecord(9, SETTINGS),
-                                hex(REQUEST)));
+        byte[] replyBesideOthers = run(batch(
+                1,
+                startRecord(8, SETTINGS),
+                startRecord(3, SETTINGS),
+                hex(ENDPOINT_LIST),
+                startRecord(9, SETTINGS),
+                hex(REQUEST)));
         assertArrayEquals(replyAlone, replyBesideOthers);
     }
 
@@ -216,28 +212,25 @@
     @Test
     void describesInvalidInput() {
         byte[] validBatch = batch(1, startRecord(3, SETTINGS), hex(ENDPOINT_LIST));
-        assertTrue(errorMessageOf(java.util.Arrays.copyOf(validBatch, validBatch.length - 4), 0).contains("truncated"));
+        assertTrue(errorMessageOf(java.util.Arrays.copyOf(validBatch, validBatch.length - 4), 0)
+                .contains("truncated"));
         assertTrue(errorMessageOf(java.util.Arrays.copyOf(validBatch, 11), 0).contains("header"));
-        assertTrue(
-                errorMessageOf(hex("00000001 ffffffff 40c06e2000000000 00000000"), 0).contains("number"));
-        assertTrue(
-                errorMessageOf(hex("00000001 0000000c 40c06e2000000000 00000009"), 0).contains("count"));
+        assertTrue(errorMessageOf(hex("00000001 ffffffff 40c06e2000000000 00000000"), 0)
+                .contains("number"));
+        assertTrue(errorMessageOf(hex("00000001 0000000c 40c06e2000000000 00000009"), 0)
+                .contains("count"));
         assertTrue(errorMessageOf(batch(1, hex("12 00ffffff 00000003")), 0).contains("runs past"));
         assertTrue(errorMessageOf(batch(1, hex("14 00000004 00000003")), 0).contains("never started"));
         assertTrue(errorMessageOf(batch(1, startRecord(3, SETTINGS), hex("14 00000004 00000003")), 0)
                 .contains("too short"));
-        assertTrue(errorMessageOf(
-                batch(1, startRecord(3, SETTINGS), hex("15 0000000d 00000003 00000001 01 00ffffff")), 0)
-                .contains("impossible count"));
+        assertTrue(
+                errorMessageOf(batch(1, startRecord(3, SETTINGS), hex("15 0000000d 00000003 00000001 01 00ffffff")), 0)
+                        .contains("impossible count"));
         assertTrue(errorMessageOf(batch(1, startRecord(3, "tickMs=soon")), 0).contains("tickMs"));
         assertTrue(errorMessageOf(batch(1, startRecord(3, "grades.count=0")), 0).contains("class"));
-        String unknownStateMessage =
-                errorMessageOf(
-                        batch(
-                                1,
-                                startRecord(3, SETTINGS),
-                                hex(ENDPOINT_LIST.replace("0000 01 03124a07", "0000 07 03124a07"))),
-                        0);
+        String unknownStateMessage = errorMessageOf(
+                batch(1, startRecord(3, SETTINGS), hex(ENDPOINT_LIST.replace("0000 01 03124a07", "0000 07 03124a07"))),
+                0);
         assertEquals("batch 0, record 1 (code 21): endpoint entry with unknown state 7", unknownStateMessage);
         assertTrue(errorMessageOf(hex("00000001 3ffffff0 40c06e2000000000 00000001 7b"), 0)
                 .contains("truncated: 1 of"));
@@ -253,13 +246,8 @@
     void acceptsGossipAndHealthCheckResults() throws IOException {
         byte[] gossip = hex("16 0000000e 00000003 00000002 0004 68692037");
         byte[] healthCheck = hex("11 0000001c 00000003 03124a07 00c8 4032800000000000 02 3f000000 40000000 ff");
-        byte[] reply = run(
-                batch(
-                        1,
-                        startRecord(3, SETTINGS + "reporting.fields=busy,q\n"),
-                        hex(ENDPOINT_LIST),
-                        gossip,
-                        healthCheck));
+        byte[] reply = run(batch(
+                1, startRecord(3, SETTINGS + "reporting.fields=busy,q\n"), hex(ENDPOINT_LIST), gossip, healthCheck));
         assertEquals(0, ByteBuffer.wrap(reply).getInt(4));
         assertTrue(errorMessageOf(batch(1, startRecord(3, SETTINGS), hex("16 0000000c 00000003 00000002 0004 6869")), 0)
                 .contains("too short"));
@@ -290,8 +278,8 @@
     @Test
     void readsRequestWithSizeExpectedWorkAndFlags() {
         FrameReader reader = new FrameReader();
-        byte[] bytes = hex(
-                "0008e32b5d3a91c4 0002 00000005 91f03b7c55d20a64 40c0e62000000000 4028000000000000 44e10000 07");
+        byte[] bytes =
+                hex("0008e32b5d3a91c4 0002 00000005 91f03b7c55d20a64 40c0e62000000000 4028000000000000 44e10000 07");
         reader.setRange(bytes, 0, bytes.length, "test");
         RoutingRequest request = new RoutingRequest();
         SimHost.readRequest(reader, request);
