--- a/proxy/src/main/java/cacheproxy/routing/OriginAdmission.java
+++ b/proxy/src/main/java/cacheproxy/routing/OriginAdmission.java
@@ -7,7 +7,7 @@
 final class OriginAdmission {
     /** Share of all requests that reach the origin; only the size of steps depends on it. */
     private static final double ORIGIN_REQUEST_SHARE = 0.1;
-    /** Weight of a failure compared with a success: above 1, because all proxies share the origin. */
+    /** Multiple of a failure's usual step: above 1, because all proxies share the origin. */
     private static final double FAILURE_WEIGHT = 3;
     /** A write still in flight is weaker evidence than a failed one. */
     private static final double SLOW_WRITE_WEIGHT = FAILURE_WEIGHT * 0.5;
--- a/proxy/src/test/java/cacheproxy/routing/HighRequestRateTest.java
+++ b/proxy/src/test/java/cacheproxy/routing/HighRequestRateTest.java
@@ -61,6 +61,6 @@
         long closedCount = fixture.actions.stream()
                 .filter(action -> action.startsWith("close"))
                 .count();
-        assertTrue(closedCount <= 2, "connections closed: " + closedCount);
+        assertTrue(closedCount <= 2, "connections closed after the first request rates are known: " + closedCount);
     }
 }
--- a/proxy/src/test/java/cacheproxy/routing/SlowStartRateTest.java
+++ b/proxy/src/test/java/cacheproxy/routing/SlowStartRateTest.java
@@ -93,7 +93,7 @@
         return keys;
     }
 
-    /** The requests of one proxy and where its router sends them. */
+    /** One proxy with the requests of its client, mostly 100 a second, and where its router sends them. */
     private static final class ProxyLoad {
         final Fixture fixture = new Fixture();
         final FairRouter router;
