--- a/proxy/src/main/java/cacheproxy/limits/DeficitRoundRobin.java
+++ b/proxy/src/main/java/cacheproxy/limits/DeficitRoundRobin.java
@@ -3,24 +3,24 @@
 import java.util.ArrayDeque;
 
 /**
- * Deficit round robin (Shreedhar and Varghese, 1995) over flows with work waiting. Each flow gets a quantum of work per
- * turn; what it overspends on one piece of work is deducted from its next turns. The work of two flows that are always
- * queued differs by no more than a quantum and the most expensive piece of each.
+ * Deficit round robin (Shreedhar and Varghese, 1995) over flows with queued work. Each flow gets a quantum of work per
+ * turn; what it uses beyond that is deducted from its next turns. The work done for two flows that are always queued
+ * differs by at most a quantum and the most expensive piece of work of each.
  *
  * <p>Not thread-safe: one event loop calls all methods.
  */
 public final class DeficitRoundRobin<K> {
-    /** The credit of one flow and whether it is queued; held by the flow's owner. */
+    /** The credit of one flow and whether it is queued; stored by the owner of the flow. */
     public static final class FlowState {
         private double credit;
         private boolean queued;
 
-        /** Deducts the cost of work that was begun; a flow in deficit has to wait. */
+        /** Deducts the cost of work that was started; a flow in deficit has to wait. */
         public void charge(double cost) {
             credit -= cost;
         }
 
-        /** Whether the flow may begin further work now. */
+        /** Whether the flow may start further work now. */
         public boolean hasCredit() {
             return credit > 0;
         }
@@ -40,14 +40,14 @@
         this.quantum = quantum;
     }
 
-    /** New work has arrived at a flow. One that isn't queued gets a turn at once; its deficit remains. */
+    /** New work has arrived for a flow. A flow that isn't queued gets a quantum at once; its deficit remains. */
     public void onWorkArrived(FlowState state) {
         if (!state.queued) {
             state.addQuantum(quantum);
         }
     }
 
-    /** Queues a flow behind all others; false if it is queued already. */
+    /** Queues a flow behind all others; returns false if it is queued already. */
     public boolean enqueue(K flow, FlowState state) {
         if (state.queued) {
             return false;
@@ -58,12 +58,12 @@
         return true;
     }
 
-    /** The number of queued flows: a round gives each one turn, and none to flows that are queued during the round. */
+    /** The number of queued flows, which is the number of turns in a round: flows queued meanwhile get none. */
     public int queuedFlows() {
         return flows.size();
     }
 
-    /** Removes the next flow and adds a quantum to its credit; null if none is queued. */
+    /** Removes the next flow from the queue and adds a quantum to its credit; null if none is queued. */
     public K next() {
         FlowState state = states.poll();
         if (state == null) {
--- a/proxy/src/main/java/cacheproxy/limits/TokenBucket.java
+++ b/proxy/src/main/java/cacheproxy/limits/TokenBucket.java
@@ -1,8 +1,8 @@
 package cacheproxy.limits;
 
 /**
- * A token bucket: allows a burst of up to its capacity, and a steady rate from then on. Full at first. Times are
- * arguments, in microseconds; a clock that jumps ahead adds no more than the capacity, one that goes back adds nothing.
+ * A token bucket: allows a burst of up to its capacity, then a steady rate. Initially full. The caller passes the time
+ * in microseconds; a clock that jumps forward adds at most the capacity, one that goes backward adds nothing.
  */
 public final class TokenBucket {
     private static final double US_PER_S = 1e6;
@@ -19,7 +19,7 @@
         lastRefillUs = nowUs;
     }
 
-    /** Takes a token; false if there is none. */
+    /** Takes a token; returns false if there is none. */
     public boolean tryConsume(long nowUs) {
         tokens = Math.min(capacity, tokens + Math.max(0, nowUs - lastRefillUs) / US_PER_S * tokensPerS);
         lastRefillUs = Math.max(lastRefillUs, nowUs);
--- a/proxy/src/main/java/cacheproxy/limits/package-info.java
+++ b/proxy/src/main/java/cacheproxy/limits/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Limits that keep one peer from harming others: fair turns, token bucket, byte budgets, and whose fault the end of an
- * attempt is. Without I/O.
+ * Limits that keep one peer from affecting others: fair scheduling, token buckets, byte budgets, and the attribution of
+ * failed attempts to endpoint, client or proxy. Performs no I/O.
  */
 package cacheproxy.limits;
--- a/proxy/src/main/java/cacheproxy/memcache/BadCommandException.java
+++ b/proxy/src/main/java/cacheproxy/memcache/BadCommandException.java
@@ -1,7 +1,7 @@
 package cacheproxy.memcache;
 
 /**
- * A command that cannot be understood; the message says to the client what is wrong. Has no stack trace: it is common.
+ * A command that cannot be parsed. The message is sent to the client. Has no stack trace, because it is frequent.
  */
 final class BadCommandException extends Exception {
     private static final long serialVersionUID = 1L;
--- a/proxy/src/main/java/cacheproxy/memcache/MetaCommand.java
+++ b/proxy/src/main/java/cacheproxy/memcache/MetaCommand.java
@@ -7,10 +7,11 @@
 
 /**
  * One {@code mg} (read) or {@code ms} (write) command of a client: what the router needs to know of the request, and
- * the bytes to forward to an endpoint. Made by {@link MetaCommandDecoder}; does not change once it has been handed on.
+ * the bytes to forward to an endpoint. Created by {@link MetaCommandDecoder}, which passes it on once it is complete;
+ * immutable from then on.
  */
 public final class MetaCommand {
-    /** The client's wait where the command names none. */
+    /** The value of {@link #waitMs} if the command states no wait. */
     public static final int WAIT_NOT_STATED = -1;
 
     private static final byte[] CRLF = {'\r', '\n'};
@@ -25,10 +26,11 @@
     private final double sizeBytes;
     private final boolean retry;
     private final boolean idempotencyKeyMissing;
-    /** The line up to the figure of its {@code d} field, and what follows the figure; null where it has none. */
+    /** The line up to the number in its {@code d} field; the whole line if it has no such field. */
     private final String beforeWait;
-
+    /** The rest of the line after the number in its {@code d} field; null if it has no such field. */
     private final String afterWait;
+
     private byte[] value;
 
     MetaCommand(MetaCommandParser parsed, boolean write, long keyHash, String beforeWait, String afterWait) {
@@ -46,7 +48,7 @@
         idempotencyKeyMissing = parsed.idempotencyKey == null || parsed.idempotencyKey.isEmpty();
     }
 
-    /** Set once, by the decoder, before the command is handed on. */
+    /** Sets the value of a write. Called once, by the decoder, before it passes the command on. */
     void value(byte[] bytes) {
         value = bytes;
     }
@@ -55,7 +57,7 @@
         return write;
     }
 
-    /** The request's id as the client gave it, with its leading {@code O}. */
+    /** The request's id as sent by the client, with its leading {@code O}. */
     public String opaque() {
         return opaque;
     }
@@ -71,8 +73,8 @@
     }
 
     /**
-     * How long the client waits for the response, in milliseconds from its sending on, or {@link #WAIT_NOT_STATED}. 0
-     * is a wait that is over.
+     * How long the client waits for the response, in milliseconds since it sent the command, or
+     * {@link #WAIT_NOT_STATED}. 0 means that the wait is over already.
      */
     public int waitMs() {
         return waitMs;
@@ -83,12 +85,12 @@
         return retry;
     }
 
-    /** The length of its value in bytes; 0 for a read. */
+    /** The length of the value in bytes; 0 for a read. */
     public int valueBytes() {
         return value == null ? 0 : value.length;
     }
 
-    /** Describes this request to the router, all but its id and its deadline. */
+    /** Copies the properties of this request, except its id and deadline, into the router's description of it. */
     public void describe(RoutingRequest request) {
         request.requestClass = requestClass;
         request.tenant = tenant;
@@ -101,10 +103,10 @@
     }
 
     /**
-     * The command for an endpoint, with the time that the proxy will wait in place of the client's. The caller releases
-     * the buffer.
+     * Encodes the command for an endpoint, with the proxy's wait in place of the client's. The caller releases the
+     * buffer.
      *
-     * @param waitUs microseconds
+     * @param waitUs how long the proxy will wait, in microseconds
      */
     public ByteBuf encode(ByteBufAllocator allocator, long waitUs) {
         String wait = afterWait == null ? "" : Long.toString(Math.max(1, waitUs / 1000)) + afterWait;
--- a/proxy/src/main/java/cacheproxy/memcache/MetaCommandDecoder.java
+++ b/proxy/src/main/java/cacheproxy/memcache/MetaCommandDecoder.java
@@ -8,12 +8,13 @@
     private static final int MAX_VALUE_BYTES = 64 << 10;
 
     private final MetaCommandParser parser;
-    /** The write whose value is coming; null where its line had an error, which is then reported behind the value. */
+    /** The write whose value is being received; null if its line had an error. */
     private MetaCommand pendingWrite;
-
+    /** The error in the line of a write, reported after its value was received; null if there was none. */
     private String pendingError;
 
-    /** {@code budget}: for values that are coming from all clients. */
+
+    /** {@code budget}: shared by the values that are being received from all clients. */
     public MetaCommandDecoder(RequestNames names, ByteBudget budget) {
         super(MAX_VALUE_BYTES, budget);
         parser = new MetaCommandParser(names);
--- a/proxy/src/main/java/cacheproxy/memcache/MetaCommandParser.java
+++ b/proxy/src/main/java/cacheproxy/memcache/MetaCommandParser.java
@@ -8,13 +8,13 @@
 /**
  * Parses the line of an {@code mg} or {@code ms} command. The {@code P} flag holds the request fields, separated by
  * commas: {@code c} class, {@code t} tenant, {@code d} wait in ms, {@code h} expected work in us, {@code size} value
- * size in bytes, {@code r} retry mark, {@code k} idempotency key; others are forwarded unread. Reused from line to
- * line, so that parsing makes no object but the command.
+ * size in bytes, {@code r} retry mark, {@code k} idempotency key; others are forwarded unread. One instance is reused
+ * for all lines, so that parsing allocates no object but the command.
  */
 final class MetaCommandParser {
     private static final int MAX_KEY_LENGTH = 250;
     private static final int MAX_OPAQUE_LENGTH = 64;
-    private static final double MAX_FIGURE = 1e12;
+    private static final double MAX_FIELD_NUMBER = 1e12;
     private static final int MAX_HEX_KEY_LENGTH = 16;
     private static final long FNV_OFFSET_BASIS = 0xcbf29ce484222325L;
     private static final long FNV_PRIME = 0x100000001b3L;
@@ -31,11 +31,12 @@
     boolean retry;
     String idempotencyKey;
 
-    /** The text of the {@code P} flag without its letter, and where that text begins in the line. */
+    /** The text of the {@code P} flag without its letter. */
     private String requestFields;
+    /** The index in the line at which {@link #requestFields} starts. */
+    private int requestFieldsStart;
 
-    private int requestFieldsAt;
-    private boolean asksForValue;
+    private boolean valueRequested;
 
     MetaCommandParser(RequestNames names) {
         this.names = names;
@@ -51,8 +52,8 @@
         if (opaque == null || opaque.length() == 1 || opaque.length() > MAX_OPAQUE_LENGTH || requestFields == null) {
             throw new BadCommandException("O and P are needed");
         }
-        if (!asksForValue) {
-            throw new BadCommandException("v is needed"); // a response without a value would not answer a read
+        if (!valueRequested) {
+            throw new BadCommandException("v is needed"); // without it the response to a read would have no value
         }
         parseRequestFields();
         if (requestClass < 0 || tenant < 0 || waitMs < MetaCommand.WAIT_NOT_STATED) {
@@ -64,8 +65,8 @@
     private void reset(boolean write) {
         opaque = null;
         requestFields = null;
-        requestFieldsAt = 0;
-        asksForValue = write;
+        requestFieldsStart = 0;
+        valueRequested = write;
         requestClass = -1;
         tenant = names.tenants().isEmpty() ? 0 : -1;
         waitMs = MetaCommand.WAIT_NOT_STATED;
@@ -76,26 +77,26 @@
     }
 
     private void parseFlags(String[] tokens, int firstFlag) throws BadCommandException {
-        int tokenAt = 0;
+        int tokenStart = 0;
         for (int i = 0; i < tokens.length; i++) {
             if (i >= firstFlag) {
-                parseFlag(tokens[i], tokenAt);
+                parseFlag(tokens[i], tokenStart);
             }
-            tokenAt += tokens[i].length() + 1;
+            tokenStart += tokens[i].length() + 1;
         }
     }
 
-    /** A flag given twice is rejected: the proxy might act on one and the endpoint on the other. */
-    private void parseFlag(String flag, int flagAt) throws BadCommandException {
+    /** Rejects a repeated flag, since the proxy might use one occurrence and the endpoint the other. */
+    private void parseFlag(String flag, int flagStart) throws BadCommandException {
         if (flag.startsWith("O")) {
             rejectIfSet("O", opaque);
             opaque = flag;
         } else if (flag.startsWith("P")) {
             rejectIfSet("P", requestFields);
             requestFields = flag.substring(1);
-            requestFieldsAt = flagAt + 1;
+            requestFieldsStart = flagStart + 1;
         }
-        asksForValue |= flag.equals("v");
+        valueRequested |= flag.equals("v");
     }
 
     private static void rejectIfSet(String flag, String earlier) throws BadCommandException {
@@ -111,10 +112,10 @@
             int equals = field.indexOf('=');
             String text = field.substring(equals + 1);
             String name = equals < 0 ? field : field.substring(0, equals);
-            int known = REQUEST_FIELDS.indexOf(name);
-            if (known >= 0) {
-                rejectIfRepeated(name, (seenFields & 1 << known) != 0);
-                seenFields |= 1 << known;
+            int fieldIndex = REQUEST_FIELDS.indexOf(name);
+            if (fieldIndex >= 0) {
+                rejectIfRepeated(name, (seenFields & 1 << fieldIndex) != 0);
+                seenFields |= 1 << fieldIndex;
             } else {
                 otherFields = otherFields.isEmpty() ? new HashSet<>() : otherFields;
                 rejectIfRepeated(name, !otherFields.add(name));
@@ -134,43 +135,43 @@
             case "c" -> requestClass = names.classes().getOrDefault(text, -1);
             case "t" -> tenant = names.tenants().getOrDefault(text, tenant);
             case "d" -> waitMs = MetaProtocolDecoder.parseNumber(text);
-            case "h" -> costUs = parseFigure(text);
-            case "size" -> sizeBytes = parseFigure(text);
+            case "h" -> costUs = parseDecimal(text);
+            case "size" -> sizeBytes = parseDecimal(text);
             case "r" -> retry = text.equals("1");
             case "k" -> idempotencyKey = text;
             default -> {} // forwarded unread
         }
     }
 
-    private static double parseFigure(String text) throws BadCommandException {
+    private static double parseDecimal(String text) throws BadCommandException {
         try {
-            double figure = Double.parseDouble(text);
-            if (figure >= 0 && figure < MAX_FIGURE) {
-                return figure;
+            double parsed = Double.parseDouble(text);
+            if (parsed >= 0 && parsed < MAX_FIELD_NUMBER) {
+                return parsed;
             }
         } catch (NumberFormatException e) {
-            // reported below, as a figure out of range is
+            // reported below, like a number out of range
         }
         throw new BadCommandException("bad figure in P");
     }
 
-    /** Splits the line round the figure of its {@code d} field, which is replaced with each attempt. */
+    /** Splits the line around the number in its {@code d} field, which is replaced in each attempt. */
     private MetaCommand command(String line, String key, boolean write) {
         boolean first = requestFields.startsWith("d=");
         int separator = first ? -1 : requestFields.indexOf(",d=");
         if (!first && separator < 0) {
             return new MetaCommand(this, write, hash(key), line, null);
         }
-        int figure = first ? "d=".length() : separator + ",d=".length();
-        int figureEnd = requestFields.indexOf(',', figure);
-        String beforeWait = line.substring(0, requestFieldsAt + figure);
-        int afterWait = requestFieldsAt + (figureEnd < 0 ? requestFields.length() : figureEnd);
+        int numberStart = first ? "d=".length() : separator + ",d=".length();
+        int numberEnd = requestFields.indexOf(',', numberStart);
+        String beforeWait = line.substring(0, requestFieldsStart + numberStart);
+        int afterWait = requestFieldsStart + (numberEnd < 0 ? requestFields.length() : numberEnd);
         return new MetaCommand(this, write, hash(key), beforeWait, line.substring(afterWait));
     }
 
     /**
-     * The key as a number, never 0, which stands for no key: its own value where it is up to 16 hex digits, else its
-     * FNV-1a hash. All proxies compute the same, so that they choose the same endpoints for a key.
+     * The key as a number: the value of a key of up to 16 hex digits, otherwise the FNV-1a hash. Never 0, which stands
+     * for no key. All proxies compute the same number, so that they choose the same endpoints for a key.
      */
     private static long hash(String key) {
         long number = 0;
--- a/proxy/src/main/java/cacheproxy/memcache/MetaNoOp.java
+++ b/proxy/src/main/java/cacheproxy/memcache/MetaNoOp.java
@@ -1,4 +1,4 @@
 package cacheproxy.memcache;
 
-/** The {@code mn} command: a client or a load balancer asks whether the proxy is ready. */
+/** The {@code mn} command, used by clients and load balancers as a health check. */
 public record MetaNoOp() {}
--- a/proxy/src/main/java/cacheproxy/memcache/MetaProtocolDecoder.java
+++ b/proxy/src/main/java/cacheproxy/memcache/MetaProtocolDecoder.java
@@ -10,47 +10,49 @@
 import java.util.List;
 
 /**
- * The framing of the memcached text protocol: lines, each perhaps followed by a data block. Subclasses turn lines and
+ * The framing of the memcached text protocol: lines, some of them followed by a data block. Subclasses turn lines and
  * blocks into messages. One instance serves one connection, on its event loop. Memory is bounded: a line by
- * {@link #MAX_LINE_LENGTH}, a block by the given maximum, all blocks of similar connections by a shared budget.
+ * {@link #MAX_LINE_BYTES}, a block by the given maximum, the blocks of all connections of a kind by a shared budget.
  */
 public abstract class MetaProtocolDecoder extends ByteToMessageDecoder {
-    /** The longest line in bytes, without its end. */
-    public static final int MAX_LINE_LENGTH = 2048;
+    /** The longest line, without its line end. */
+    public static final int MAX_LINE_BYTES = 2048;
     /** Returned by {@link #onLine} when no data block follows. */
     protected static final int NO_BLOCK = -1;
-    /** Returned by {@link #parseNumber} for a text that is no number; as a block length it loses the framing. */
+    /** Returned by {@link #parseNumber} for text that is not a number; as a block length it loses the framing. */
     protected static final int NOT_A_NUMBER = -2;
 
-    /** An announced block reserves only this much before its bytes come, so that a silent peer blocks nobody. */
+    /** The only bytes reserved for an announced block before its data arrives, so that a silent peer can't use up all. */
     private static final int INITIAL_BLOCK_BYTES = 4 << 10;
 
     private static final int MAX_NUMBER_DIGITS = 9;
 
-    /** Asked before each message whether it may be decoded now; on false the owner calls {@link #resume} later. */
+    /** Decides before each message whether to decode it now. After false, the owner calls {@link #resume} later. */
     public interface ReadGate {
         boolean mayRead();
     }
 
-    private final int maxBlockLength;
+    private final int maxBlockBytes;
     private final ByteBudget budget;
-    /** The part of the current block that was allocated so far; null between blocks. */
+    /** The part of the current block that is allocated so far; null between blocks. */
     private byte[] block;
 
     private int blockFilled;
     private int blockLength;
+    /** Whether this decoder is reserving more of the budget for its current block. */
     private boolean growing;
+
     private boolean framingLost;
     private ReadGate gate = () -> true;
     private ChannelHandlerContext context;
 
-    /** {@code budget}: shared by all decoders of connections of this kind, for blocks that are coming. */
-    protected MetaProtocolDecoder(int maxBlockLength, ByteBudget budget) {
-        this.maxBlockLength = maxBlockLength;
+    /** {@code budget}: for blocks being received, shared by the decoders of all connections of this kind. */
+    protected MetaProtocolDecoder(int maxBlockBytes, ByteBudget budget) {
+        this.maxBlockBytes = maxBlockBytes;
         this.budget = budget;
     }
 
-    /** Sets the gate; without one every message is decoded as it comes. */
+    /** Sets the gate; without one, every message is decoded as soon as it arrives. */
     public final void gate(ReadGate gate) {
         this.gate = gate;
     }
@@ -60,28 +62,28 @@
         context = ctx;
     }
 
-    /** Whether bytes wait to be decoded as messages. */
+    /** Whether there are received bytes that wait to be decoded as messages. */
     public final boolean hasUndecodedBytes() {
         return !framingLost && block == null && actualReadableBytes() > 0;
     }
 
-    /** How many bytes wait to be decoded. */
+    /** The number of received bytes that wait to be decoded. */
     public final int undecodedBytes() {
         return actualReadableBytes();
     }
 
-    /** Whether a message has begun to arrive and has not ended. */
+    /** Whether a message was received in part. */
     public final boolean isInsideMessage() {
         return !framingLost && (block != null || actualReadableBytes() > 0);
     }
 
-    /** Goes on decoding after the gate was closed. */
+    /** Resumes decoding after the gate had stopped it. */
     public final void resume() throws Exception {
         channelRead(context, Unpooled.EMPTY_BUFFER);
         channelReadComplete(context);
     }
 
-    /** Overridden because Netty's own would read on although auto-read is off. */
+    /** Overridden because Netty's implementation would continue to read although auto-read is off. */
     @Override
     public final void channelReadComplete(ChannelHandlerContext ctx) {
         discardSomeReadBytes();
@@ -89,8 +91,8 @@
     }
 
     /**
-     * Releases what has come of the current block and ignores all further input. Returns false when there is no block,
-     * or when this decoder itself is asking for more of the budget just now.
+     * Releases the received part of the current block and ignores all further input. Returns false if there is no block
+     * or if this decoder is itself reserving more of the budget.
      */
     public final boolean discardBlock() {
         if (block == null || growing) {
@@ -101,13 +103,13 @@
         return true;
     }
 
-    /** Decodes a line without its end; returns the length of the block that follows, or {@link #NO_BLOCK}. */
+    /** Decodes a line, given without its end. Returns the length of the block that follows, or {@link #NO_BLOCK}. */
     protected abstract int onLine(String line, List<Object> out);
 
     /** Decodes the block that the last line announced. */
     protected abstract void onBlock(byte[] bytes, List<Object> out);
 
-    /** The peer broke the framing: all further input is ignored. */
+    /** The input violates the framing; all further input is ignored. */
     protected abstract void onFramingLost(String reason, List<Object> out);
 
     @Override
@@ -121,7 +123,7 @@
         }
     }
 
-    /** Fills the block as its bytes come; gathering them first would hold them twice. */
+    /** Fills the block as its bytes arrive; accumulating them first would hold them in memory twice. */
     private void decodeBlock(ByteBuf in, List<Object> out) {
         if (blockFilled == block.length && blockFilled < blockLength && !growBlock()) {
             loseFraming("too much is coming at once", out);
@@ -144,7 +146,7 @@
 
     private boolean growBlock() {
         int size = Math.min(blockLength, block.length * 2);
-        growing = true; // the budget's reclaimer must not pick this block
+        growing = true; // keeps the budget's reclaimer from discarding this block
         try {
             if (!budget.reserve(size - block.length)) {
                 return false;
@@ -159,21 +161,21 @@
     private void decodeLine(ByteBuf in, List<Object> out) {
         int end = in.indexOf(in.readerIndex(), in.writerIndex(), (byte) '\n');
         int length = (end < 0 ? in.writerIndex() : end) - in.readerIndex();
-        if (length > MAX_LINE_LENGTH) {
-            in.skipBytes(in.readableBytes()); // ByteToMessageDecoder rejects a message that consumed nothing
+        if (length > MAX_LINE_BYTES) {
+            in.skipBytes(in.readableBytes()); // ByteToMessageDecoder rejects output without input read
             loseFraming("line too long", out);
         } else if (end >= 0) {
             String line = in.readString(length, StandardCharsets.ISO_8859_1);
             in.skipBytes(1);
-            int announced = onLine(line.endsWith("\r") ? line.substring(0, length - 1) : line, out);
-            if (announced != NO_BLOCK) {
-                beginBlock(announced, out);
+            int announcedBytes = onLine(line.endsWith("\r") ? line.substring(0, length - 1) : line, out);
+            if (announcedBytes != NO_BLOCK) {
+                beginBlock(announcedBytes, out);
             }
         }
     }
 
     private void beginBlock(int length, List<Object> out) {
-        if (length > maxBlockLength) {
+        if (length > maxBlockBytes) {
             loseFraming("object too large", out);
         } else if (length < 0) {
             loseFraming("bad data length", out);
--- a/proxy/src/main/java/cacheproxy/memcache/MetaResponse.java
+++ b/proxy/src/main/java/cacheproxy/memcache/MetaResponse.java
@@ -7,13 +7,13 @@
 import io.netty.buffer.Unpooled;
 import java.nio.charset.StandardCharsets;
 
-/** One response of a cache endpoint, made by {@link MetaResponseDecoder}. */
+/** One response of a cache endpoint, created by {@link MetaResponseDecoder}. */
 public final class MetaResponse {
     private static final byte[] CRLF = {'\r', '\n'};
-    /** The largest figure of a load report that is believed. */
-    private static final double MAX_LOAD_FIGURE = 1e7;
-    /** The largest believable share of busy cores: 1 is all of them, and readings are noisy. */
-    private static final double MAX_BUSY_SHARE = 4;
+    /** The largest plausible number in a load report. */
+    private static final double MAX_LOAD_NUMBER = 1e7;
+    /** The largest plausible CPU utilization: 1 means all cores busy, but readings are noisy. */
+    private static final double MAX_CPU_UTILIZATION = 4;
 
     private final ResponseStatus status;
     String opaque;
@@ -21,7 +21,7 @@
     byte[] value;
     CacheResult cacheNote = CacheResult.NONE;
     String loadFields;
-    String malformation;
+    String malformedReason;
 
     MetaResponse(ResponseStatus status) {
         this.status = status;
@@ -31,17 +31,17 @@
         return status;
     }
 
-    /** The id of the request that it answers, with its leading {@code O}; null on an error line. */
+    /** The id of the request that this response belongs to, with its leading {@code O}; null on an error line. */
     public String opaque() {
         return opaque;
     }
 
-    /** Whether it does not say which request it answers. */
+    /** Whether the response has no request id. */
     public boolean hasNoOpaque() {
         return opaque == null;
     }
 
-    /** The receipt of a write; null without one. */
+    /** The receipt of a write; null if there is none. */
     public String receipt() {
         return receipt;
     }
@@ -52,11 +52,11 @@
     }
 
     /** What is wrong with a {@link ResponseStatus#MALFORMED} response. */
-    public String malformation() {
-        return malformation;
+    public String malformedReason() {
+        return malformedReason;
     }
 
-    /** Whether it is a possible response to this command: of the right kind, and with its id where it names one. */
+    /** Whether this can be the response to the command: of the right kind, and with its id if a value or receipt. */
     public boolean matches(MetaCommand command) {
         return switch (status) {
             case SERVED -> command.opaque().equals(opaque) && hasPayloadFor(command);
@@ -69,7 +69,7 @@
         return command.isWrite() ? value == null && receipt != null : value != null;
     }
 
-    /** Reads the endpoint's load report into {@code report}, cleared first. Impossible figures are left out. */
+    /** Reads the endpoint's load report into {@code report}, cleared first. Implausible numbers are left out. */
     public void readLoadReport(LoadReport report) {
         report.clear();
         if (loadFields == null) {
@@ -78,33 +78,33 @@
         for (String field : loadFields.split(",")) {
             int equals = field.indexOf('=');
             if (equals > 0) {
-                readLoadFigure(field.substring(0, equals), field.substring(equals + 1), report);
+                readLoadField(field.substring(0, equals), field.substring(equals + 1), report);
             }
         }
-        if (report.cpuUtilization > MAX_BUSY_SHARE) {
+        if (report.cpuUtilization > MAX_CPU_UTILIZATION) {
             report.cpuUtilization = Double.NaN;
         }
     }
 
-    private static void readLoadFigure(String name, String text, LoadReport report) {
+    private static void readLoadField(String name, String text, LoadReport report) {
         try {
-            double figure = Double.parseDouble(text);
-            if (figure >= 0 && figure <= MAX_LOAD_FIGURE) {
-                SettingsText.report(name, figure, report);
+            double number = Double.parseDouble(text);
+            if (number >= 0 && number <= MAX_LOAD_NUMBER) {
+                SettingsText.report(name, number, report);
             }
         } catch (NumberFormatException e) {
-            // a malformed figure is left out like an impossible one
+            // left out like an implausible number
         }
     }
 
-    /** The response for the client, without what the endpoint tells the proxy alone. The caller releases the buffer. */
+    /** Encodes the response for the client, without the flags meant for the proxy. The caller releases the buffer. */
     public ByteBuf encode() {
         String line = value != null ? "VA " + value.length + " " + opaque : "HD " + opaque + " " + receipt;
         ByteBuf head = Unpooled.copiedBuffer(line + "\r\n", StandardCharsets.ISO_8859_1);
         if (value == null) {
             return head;
         }
-        // wrapped, not copied: values are large and memory is short
+        // wrapped, not copied: values are large and memory is scarce
         return Unpooled.wrappedBuffer(head, Unpooled.wrappedBuffer(value), Unpooled.wrappedBuffer(CRLF));
     }
 }
--- a/proxy/src/main/java/cacheproxy/memcache/MetaResponseDecoder.java
+++ b/proxy/src/main/java/cacheproxy/memcache/MetaResponseDecoder.java
@@ -9,9 +9,9 @@
     /** Endpoints serve values several times as large as those that clients may send. */
     private static final int MAX_VALUE_BYTES = 1 << 20;
 
-    private MetaResponse pending;
+    private MetaResponse pendingResponse;
 
-    /** {@code budget}: for values that are coming from all endpoints. */
+    /** {@code budget}: shared by the values that are being received from all endpoints. */
     public MetaResponseDecoder(ByteBudget budget) {
         super(MAX_VALUE_BYTES, budget);
     }
@@ -21,7 +21,7 @@
         String[] tokens = line.split(" ");
         switch (tokens.length == 0 ? "" : tokens[0]) {
             case "VA" -> {
-                pending = withFlags(ResponseStatus.SERVED, tokens, 2);
+                pendingResponse = withFlags(ResponseStatus.SERVED, tokens, 2);
                 return tokens.length < 2 ? NOT_A_NUMBER : parseNumber(tokens[1]);
             }
             case "HD" -> out.add(withFlags(ResponseStatus.SERVED, tokens, 1));
@@ -36,25 +36,25 @@
     private static MetaResponse serverError(String[] tokens) {
         boolean busy = tokens.length > 1 && tokens[1].equals("busy");
         MetaResponse response = withFlags(busy ? ResponseStatus.BUSY : ResponseStatus.FAILED, tokens, 2);
-        response.opaque = null; // the protocol has no id on an error line
+        response.opaque = null; // an error line has no id in this protocol
         return response;
     }
 
     private static MetaResponse withFlags(ResponseStatus status, String[] tokens, int firstFlag) {
         MetaResponse response = new MetaResponse(status);
-        boolean fetching = false;
+        boolean fetchInFlight = false;
         for (int i = firstFlag; i < tokens.length; i++) {
             String flag = tokens[i];
             switch (flag.isEmpty() ? ' ' : flag.charAt(0)) {
                 case 'O' -> response.opaque = flag;
                 case 'c' -> response.receipt = flag;
                 case 'h' -> response.cacheNote = flag.equals("h1") ? CacheResult.HIT : CacheResult.MISS;
-                case 'Z' -> fetching = true;
+                case 'Z' -> fetchInFlight = true;
                 case 'L' -> response.loadFields = flag.substring(1);
                 default -> {} // a flag that the proxy does not use
             }
         }
-        if (fetching && response.cacheNote == CacheResult.MISS) {
+        if (fetchInFlight && response.cacheNote == CacheResult.MISS) {
             response.cacheNote = CacheResult.MISS_FETCH_IN_FLIGHT;
         }
         return response;
@@ -62,9 +62,9 @@
 
     @Override
     protected void onBlock(byte[] bytes, List<Object> out) {
-        pending.value = bytes;
-        out.add(pending);
-        pending = null;
+        pendingResponse.value = bytes;
+        out.add(pendingResponse);
+        pendingResponse = null;
     }
 
     @Override
@@ -74,7 +74,7 @@
 
     private static MetaResponse malformed(String reason) {
         MetaResponse response = new MetaResponse(ResponseStatus.MALFORMED);
-        response.malformation = reason;
+        response.malformedReason = reason;
         return response;
     }
 }
--- a/proxy/src/main/java/cacheproxy/memcache/ProtocolError.java
+++ b/proxy/src/main/java/cacheproxy/memcache/ProtocolError.java
@@ -1,9 +1,9 @@
 package cacheproxy.memcache;
 
 /**
- * Input of a client that does not follow the protocol.
+ * A protocol violation in a client's input.
  *
- * @param line the error line for the client, without its end
- * @param framingLost whether nothing after it can be decoded
+ * @param line the error line to send to the client, without its line end
+ * @param framingLost whether no further input can be decoded
  */
 public record ProtocolError(String line, boolean framingLost) {}
--- a/proxy/src/main/java/cacheproxy/memcache/ResponseStatus.java
+++ b/proxy/src/main/java/cacheproxy/memcache/ResponseStatus.java
@@ -1,17 +1,17 @@
 package cacheproxy.memcache;
 
-/** What a response line of an endpoint says. */
+/** The kind of a response of an endpoint. */
 public enum ResponseStatus {
-    /** {@code VA} or {@code HD}: a value, or a write's receipt. */
+    /** {@code VA} with a value or {@code HD} with the receipt of a write. */
     SERVED,
-    /** {@code EN}: no value under the key. */
+    /** {@code EN}: no value for the key. */
     MISS,
     /** {@code SERVER_ERROR busy}: rejected before it was executed. */
     BUSY,
-    /** {@code SERVER_ERROR} and anything else: it may have been executed. */
+    /** {@code SERVER_ERROR} with any other text: possibly executed. */
     FAILED,
     /** {@code CLIENT_ERROR}: the endpoint cannot use the request. */
     REJECTED,
-    /** A line or block that does not follow the protocol. */
+    /** A line or block that violates the protocol. */
     MALFORMED
 }
--- a/proxy/src/main/java/cacheproxy/memcache/package-info.java
+++ b/proxy/src/main/java/cacheproxy/memcache/package-info.java
@@ -1,6 +1,6 @@
 /**
- * The memcached meta text protocol, as far as the proxy speaks it: decoders for the commands of clients and for the
- * responses of cache endpoints, with the framing that both share. Classes here know no connections and no routing
- * decisions; they run on the event loop.
+ * The part of the memcached meta text protocol that the proxy supports: decoders for the commands of clients and for
+ * the responses of cache endpoints, and the framing that both share. Classes here don't depend on connections or on
+ * routing decisions; they run on the event loop.
  */
 package cacheproxy.memcache;
--- a/proxy/src/main/java/cacheproxy/upstream/Attempt.java
+++ b/proxy/src/main/java/cacheproxy/upstream/Attempt.java
@@ -3,8 +3,8 @@
 import io.netty.util.concurrent.Future;
 
 /**
- * One sending of a request to an endpoint, from the router's decision to exactly one {@link AttemptCompletion}. Times
- * are microseconds on the event loop's clock.
+ * One attempt to get a request served by an endpoint. It begins with the router's decision and ends with exactly one
+ * {@link AttemptCompletion}. Times are in microseconds on the event loop's clock.
  */
 public final class Attempt {
     private final UpstreamRequest request;
@@ -12,9 +12,9 @@
     private final long startedUs;
     private final long timeoutUs;
     private final long loopLateAtStartUs;
-    /** Whether its last byte has gone to the kernel: from then on it may be executed. */
+    /** Whether the last byte was written to the socket: from then on the endpoint may execute the request. */
     boolean written;
-    /** Whether it was handed to the channel: from then on it is written unless the connection breaks. */
+    /** Whether the request was passed to the channel, which writes it unless the connection breaks. */
     boolean handedToChannel;
 
     private boolean completed;
@@ -22,8 +22,8 @@
     private Future<?> timeout;
 
     /**
-     * @param number counted from 0 within its request
-     * @param loopLateAtStartUs the clock's total lateness at the start
+     * @param number 0 for the first attempt of the request
+     * @param loopLateAtStartUs the event loop's total lateness at the start, as its clock counts it
      */
     public Attempt(UpstreamRequest request, int number, long startedUs, long timeoutUs, long loopLateAtStartUs) {
         this.request = request;
@@ -45,7 +45,7 @@
         return startedUs;
     }
 
-    /** How long the proxy waits for its response. */
+    /** How long the proxy waits for the response. */
     public long timeoutUs() {
         return timeoutUs;
     }
@@ -58,32 +58,32 @@
         return completed;
     }
 
-    /** The connection it was sent on; null where it got none. */
+    /** The connection that it is sent on; null if it was assigned none. */
     public EndpointConnection connection() {
         return connection;
     }
 
-    void connection(EndpointConnection on) {
-        connection = on;
+    void connection(EndpointConnection assignedConnection) {
+        connection = assignedConnection;
     }
 
-    /** Sets the timer that ends it; cancelled on completion. */
+    /** Sets the timer for the timeout; it is cancelled on completion. */
     public void timeout(Future<?> timer) {
         timeout = timer;
     }
 
-    /** Marks it completed and cancels its timer. */
+    /** Marks the attempt as completed and cancels its timer. */
     public void complete() {
         completed = true;
         timeout.cancel(false);
     }
 
-    /** Marks it completed without touching its timer. */
+    /** Marks the attempt as completed and leaves its timer running. */
     void markCompleted() {
         completed = true;
     }
 
-    /** What the loss of its connection means for it. */
+    /** How the attempt completes if its connection is lost. */
     AttemptCompletion onConnectionLost() {
         return written ? AttemptCompletion.CONNECTION_LOST : AttemptCompletion.NOT_WRITTEN;
     }
--- a/proxy/src/main/java/cacheproxy/upstream/AttemptCompletion.java
+++ b/proxy/src/main/java/cacheproxy/upstream/AttemptCompletion.java
@@ -4,52 +4,54 @@
 import cacheproxy.routing.AttemptOutcome;
 
 /**
- * Every way in which an attempt can end, and what it means for the router and for the connection; nowhere else is it
- * decided. Source: the protocol page, "Proxies to cache nodes". An attempt is reported as never executed only where no
- * other explanation is possible: on this word a request that is not idempotent is sent again or rejected.
+ * All ways in which an attempt can end. This is the only place that decides which outcome the router is given and
+ * whether the connection may be reused, by the section "Proxies to cache nodes" of the protocol specification. An
+ * attempt is reported as never executed only if that is certain, because the router then retries or rejects even a
+ * request that is not idempotent.
  *
- * <p>A response without an id may be a duplicate of the one before. After it only idempotent requests may use the
- * connection ({@link Reuse#IDEMPOTENT_ONLY}); closing it would cost a handshake for each {@code busy} of a full
- * endpoint.
+ * <p>A response without an id may be a duplicate of the previous one. After such a response only idempotent requests
+ * may use the connection ({@link Reuse#IDEMPOTENT_ONLY}). Closing it instead would cost a handshake for each
+ * {@code busy} response of an overloaded endpoint.
  */
 public enum AttemptCompletion {
-    /** {@code VA} with its own id, to a read; {@code HD} with its own id and a receipt, to a write. */
+    /** {@code VA} with the request's id, for a read; {@code HD} with the request's id and a receipt, for a write. */
     SERVED(AttemptOutcome.OK, Reuse.ANY),
-    /** {@code EN}: an endpoint that does not fetch from the origin has no value under the key. */
+    /** {@code EN}: the endpoint does not fetch from the origin and has no value for the key. */
     MISS(AttemptOutcome.MISS, Reuse.IDEMPOTENT_ONLY),
-    /** {@code SERVER_ERROR busy} that can answer no other request: never executed. */
+    /** {@code SERVER_ERROR busy} that cannot belong to another request: never executed. */
     BUSY(AttemptOutcome.OVERLOADED, Reuse.IDEMPOTENT_ONLY),
-    /** {@code SERVER_ERROR} and anything else: possibly executed. */
+    /** {@code SERVER_ERROR} with any other text: possibly executed. */
     FAILED(AttemptOutcome.ERROR, Reuse.IDEMPOTENT_ONLY),
-    /** {@code CLIENT_ERROR}: no endpoint can use the request. The endpoint may be out of step with the connection. */
+    /** {@code CLIENT_ERROR}: no endpoint can use the request. The endpoint may have lost the framing. */
     REJECTED(AttemptOutcome.CANCELLED, Reuse.CLOSE),
     /**
-     * The response is malformed, of the wrong kind, bears another request's id, has no receipt (a plain {@code HD}) or
-     * stops in the middle; or it is a {@code busy} that may be another's, to a request that is not idempotent. Possibly
-     * executed; says nothing about load.
+     * The response is malformed or incomplete, is of the wrong kind, has the id of another request or lacks the receipt
+     * (a plain {@code HD}); or it has no id, may belong to another request, and this request is not idempotent.
+     * Possibly executed; says nothing about load.
      */
     MALFORMED(AttemptOutcome.RESET, Reuse.CLOSE),
-    /** The connection broke or ended after the request's last byte was written: possibly executed. */
+    /** The connection was lost after the last byte of the request was written: possibly executed. */
     CONNECTION_LOST(AttemptOutcome.RESET, Reuse.CLOSE),
-    /** Refused, never connected, or broken before the request's last byte was written: never executed. */
+    /** Not connected, or the connection was lost before the last byte was written: never executed. */
     NOT_WRITTEN(AttemptOutcome.CONNECT_FAILED, Reuse.CLOSE),
-    /** No response in time, and the last byte had been written: possibly executed, now or later. */
+    /** No response before the timeout, but the last byte was written: possibly executed, now or later. */
     TIMED_OUT(AttemptOutcome.TIMEOUT, Reuse.CLOSE),
     /** The router cancelled it. Possibly executed. */
     CANCELLED(AttemptOutcome.CANCELLED, Reuse.CLOSE),
     /**
-     * The event loop stalled meanwhile, which says nothing about the endpoint. Replaces other ends, also a {@code busy}
-     * that came after the timeout, and is reported as possibly executed whatever it replaces, to the safe side.
+     * The event loop stalled during the attempt, so the outcome says nothing about the endpoint. Replaces other
+     * completions, including a {@code busy} that came after the timeout. Always reported as possibly executed, which is
+     * the safe assumption.
      */
     LOOP_STALLED(AttemptOutcome.CANCELLED, Reuse.CLOSE),
-    /** No descriptor was left for a connection, which says nothing about the endpoint. Never executed. */
+    /** No file descriptor was left for a connection; says nothing about the endpoint. Never executed. */
     NO_CAPACITY(AttemptOutcome.NOT_SENT, Reuse.ANY),
-    /** Its client's deadline could not have been met by any endpoint. Possibly executed. */
+    /** Timed out with a client deadline that no endpoint could have met. Possibly executed. */
     UNMEETABLE_DEADLINE(AttemptOutcome.CANCELLED, Reuse.CLOSE),
-    /** Request answered, deadline passed, endpoint unlisted, or no attempt left: it was sent nowhere. */
+    /** Never sent: request answered, deadline passed, endpoint no longer listed, or no attempt left. */
     NOT_SENT(AttemptOutcome.NOT_SENT, Reuse.ANY);
 
-    /** Which requests may use a connection after such an end. */
+    /** Which requests may use the connection afterwards. */
     enum Reuse {
         ANY,
         IDEMPOTENT_ONLY,
@@ -64,7 +66,7 @@
         this.reuse = reuse;
     }
 
-    /** What the router is told; {@link AttemptOutcome#provesNotExecuted} says whether it may be sent again. */
+    /** The outcome reported to the router; see {@link AttemptOutcome#provesNotExecuted} for whether a retry is safe. */
     public AttemptOutcome outcome() {
         return outcome;
     }
--- a/proxy/src/main/java/cacheproxy/upstream/CloseReason.java
+++ b/proxy/src/main/java/cacheproxy/upstream/CloseReason.java
@@ -3,18 +3,18 @@
 /** Why a connection to an endpoint was closed, for the log. */
 enum CloseReason {
     IDLE("idle timeout"),
-    ADDRESS_CHANGED("the endpoint has another address now"),
-    ENDPOINT_LEFT("the endpoint is draining or gone, or its idle connections are no longer trusted"),
-    MAKES_ROOM("makes room for another connection"),
+    ADDRESS_CHANGED("the endpoint's address changed"),
+    ENDPOINT_DRAINING_OR_GONE("the endpoint is draining or gone, or its idle connections are no longer trusted"),
+    EVICTED("evicted to make room for another connection"),
     CONNECTED_TOO_LATE("connected too late to be used"),
     CONNECT_TIMEOUT("connect timeout"),
-    ATTEMPT_GIVEN_UP("its attempt was given up"),
-    UNEXPECTED_BYTES("bytes that answer no request"),
-    PROTOCOL_ERROR("a response that cannot be used"),
-    AMBIGUOUS_RESPONSE("a response without an id that may be another request's"),
-    RETIRED("takes no further request"),
-    ERROR("an error on the connection"),
-    CONNECT_FAILED("could not connect"),
+    ATTEMPT_GIVEN_UP("its attempt timed out or was cancelled"),
+    UNEXPECTED_BYTES("received bytes that belong to no request"),
+    PROTOCOL_ERROR("protocol error in a response"),
+    AMBIGUOUS_RESPONSE("received a response without an id that may belong to another request"),
+    RETIRED("no longer accepts attempts"),
+    ERROR("error on the connection"),
+    CONNECT_FAILED("connect failed"),
     CLOSED_BY_PEER("closed by the endpoint");
 
     final String text;
--- a/proxy/src/main/java/cacheproxy/upstream/DeadlineWrite.java
+++ b/proxy/src/main/java/cacheproxy/upstream/DeadlineWrite.java
@@ -8,13 +8,13 @@
 import java.util.function.BooleanSupplier;
 
 /**
- * Bytes that must not be written after a deadline. A channel holds what the peer does not read and writes it as soon as
- * the peer reads on, before any timer runs; the rest of a retry could so arrive when the endpoint no longer discards
- * duplicates. This is asked before each write and fails it instead, which ends the connection before the request is
- * complete.
+ * Bytes that must not be written after a deadline. A channel buffers what the peer does not read and writes it as soon
+ * as the peer reads again, before any timer runs. The rest of a retry could then arrive after the endpoint's
+ * deduplication window, and the request would be executed twice. This class checks the deadline before each write and
+ * fails the write once it has passed, which closes the connection before the request is complete.
  *
- * <p>A {@link FileRegion}, since that is what Netty lets decide at each write what goes out. Owns the buffer and
- * releases it when it is released.
+ * <p>Implemented as a {@link FileRegion} because Netty calls its {@code transferTo} for each write. Owns the buffer
+ * and releases it when it is released itself.
  */
 final class DeadlineWrite extends AbstractReferenceCounted implements FileRegion {
     private final ByteBuf bytes;
@@ -47,7 +47,7 @@
         return count - bytes.readableBytes();
     }
 
-    /** The deprecated name of {@link #transferred}, which the interface still asks for. */
+    /** The deprecated name of {@link #transferred}, which the interface still requires. */
     @Override
     @Deprecated
     public long transfered() {
--- a/proxy/src/main/java/cacheproxy/upstream/EndpointConnection.java
+++ b/proxy/src/main/java/cacheproxy/upstream/EndpointConnection.java
@@ -20,35 +20,35 @@
 import java.util.function.Predicate;
 
 /**
- * One connection to an endpoint, with the attempts on it in the order of their responses. Lives on the event loop; ends
- * every attempt that was added to it exactly once.
+ * One connection to an endpoint, with the attempts on it in the order in which their responses are expected. Used on
+ * the event loop only. Completes every attempt that was added to it exactly once.
  */
 public final class EndpointConnection extends SimpleChannelInboundHandler<MetaResponse> {
-    /** The longest pause between two reads of one response; after that it was cut short or has a wrong length. */
+    /** The longest pause between two reads of one response; after it the response is truncated or its length wrong. */
     private static final long RESPONSE_STALL_US = 300_000;
 
     private final EndpointPools pools;
     private final EndpointPool pool;
     private final SocketAddress remoteAddress;
     private final MetaResponseDecoder decoder;
-    /** The attempts on this connection, the one whose response is due first in front. */
+    /** The attempts on this connection, first the one whose response is expected next. */
     private final ArrayDeque<Attempt> attempts = new ArrayDeque<>();
 
     private Channel channel;
     private boolean connected;
     private boolean closed;
-    /** Takes no further attempt: one was given up on it, whose response would come before the next one's. */
+    /** Takes no further attempt, for example because the late response of an abandoned one would come first. */
     private boolean retired;
-    /** A response without an id has come: a duplicate of it would look like the next request's. */
-    private boolean uncertain;
-    /** Its last response has come; it becomes idle once the current read is complete. */
-    private boolean resting;
-    /** The id of the last response, by which a duplicate of it is recognised. */
+    /** A response without an id was received: a duplicate of it would be taken for the next request's response. */
+    private boolean idempotentOnly;
+    /** The last expected response was received; the connection becomes idle once the current read is complete. */
+    private boolean becomingIdle;
+    /** The id of the last response, used to detect a duplicate of it. */
     private String lastOpaque;
 
     private Future<?> stallTimer;
-    /** Counts reads that ended or began a stall timer, so that an outdated timer does nothing. */
-    private int stallTimers;
+    /** Incremented with each cancellation, so that an outdated timer that is already running does nothing. */
+    private int stallTimerGeneration;
 
     private final long connectStartedUs;
     private final long loopLateAtConnectUs;
@@ -69,12 +69,12 @@
         channel = ctx.channel();
     }
 
-    /** The pool that it belongs to. */
+    /** The pool that this connection belongs to. */
     public EndpointPool pool() {
         return pool;
     }
 
-    /** The address that it was opened to, which may no longer be the endpoint's. */
+    /** The address that the connection was opened to; the endpoint may have another one by now. */
     SocketAddress remoteAddress() {
         return remoteAddress;
     }
@@ -83,9 +83,9 @@
         return attempts.size();
     }
 
-    /** Whether only idempotent requests may use it. */
-    boolean isUncertain() {
-        return uncertain;
+    /** Whether only idempotent requests may use this connection. */
+    boolean isIdempotentOnly() {
+        return idempotentOnly;
     }
 
     boolean isUsable() {
@@ -93,8 +93,8 @@
     }
 
     /**
-     * Whether it is usable once everything that has arrived is read. A close by the endpoint that lies unread would
-     * turn the next request into one that was possibly executed.
+     * Reads everything that has arrived, then returns whether the connection is usable. If the endpoint has closed the
+     * connection and that was not read yet, the next request would have to be treated as possibly executed.
      */
     boolean isUsableAfterRead() {
         readArrived();
@@ -117,8 +117,8 @@
     }
 
     /**
-     * Writes one attempt at a time. What is handed to the channel is written for certain: behind an endpoint that does
-     * not read it could go out after its request was answered or the endpoint began to drain.
+     * Writes one attempt at a time, because what is passed to the channel can't be taken back: if the endpoint does not
+     * read, it could be written after its request was answered or after the endpoint began to drain.
      */
     private void writeNext() {
         drop(attempt -> attempt.request().isAnswered() || isTooLateToRetry(attempt));
@@ -136,8 +136,8 @@
     }
 
     /**
-     * The router allows for the connect timeout between its decision and the last byte of a retry. Written later, a
-     * request with an idempotency key could arrive when the endpoint no longer discards duplicates.
+     * The router allows the connect timeout between its decision and the last byte of a retry. Written later, a request
+     * with an idempotency key could arrive after the endpoint's deduplication window.
      */
     private boolean isTooLateToRetry(Attempt attempt) {
         return attempt.number() > 0
@@ -146,16 +146,16 @@
     }
 
     private void write(Attempt attempt) {
-        long leftUs = attempt.timeoutUs() - (pools.clock.nowUs() - attempt.startedUs());
+        long remainingUs = attempt.timeoutUs() - (pools.clock.nowUs() - attempt.startedUs());
         attempt.handedToChannel = true;
-        ByteBuf bytes = attempt.request().command().encode(channel.alloc(), leftUs);
+        ByteBuf bytes = attempt.request().command().encode(channel.alloc(), remainingUs);
         boolean hasDeadline = attempt.number() > 0 && !attempt.request().isIdempotent();
         Object message = hasDeadline ? new DeadlineWrite(bytes, () -> isTooLateToRetry(attempt)) : bytes;
         channel.writeAndFlush(message).addListener(future -> {
             attempt.written = future.isSuccess();
             traceWrite(attempt);
             if (attempt.written && !closed && attempts.size() > 1) {
-                pools.clock.schedule(0, this::writeNext); // not from within writeNext's own iteration
+                pools.clock.schedule(0, this::writeNext); // not while writeNext iterates over the attempts
             }
         });
     }
@@ -170,17 +170,17 @@
         }
     }
 
-    /** Ends all attempts that were not handed to the channel yet: they may be sent elsewhere. */
+    /** Completes all attempts that were not passed to the channel yet as not sent: they may be sent elsewhere. */
     void dropUnsent() {
         drop(attempt -> true);
     }
 
-    /** Removes all of them before it ends the first: what that brings about may come back to this connection. */
-    private void drop(Predicate<Attempt> which) {
+    /** Removes all matching attempts before it completes the first: the listener may call this connection again. */
+    private void drop(Predicate<Attempt> condition) {
         List<Attempt> dropped = null;
         for (Iterator<Attempt> i = attempts.iterator(); i.hasNext(); ) {
             Attempt attempt = i.next();
-            if (!attempt.handedToChannel && which.test(attempt)) {
+            if (!attempt.handedToChannel && condition.test(attempt)) {
                 i.remove();
                 dropped = dropped == null ? new ArrayList<>(1) : dropped;
                 dropped.add(attempt);
@@ -195,12 +195,12 @@
     public void channelActive(ChannelHandlerContext ctx) {
         connectTimer.cancel(false);
         if (pools.clock.nowUs() - connectStartedUs > pools.maxConnectUs) {
-            dropUnsent(); // the loop stalled meanwhile: the endpoint may be draining by now
+            dropUnsent(); // the event loop stalled: the endpoint may be draining by now
             close(CloseReason.CONNECTED_TOO_LATE);
             return;
         }
         connected = true;
-        // a hedged request may have answered, the client may have left, or a stall may have used up the time
+        // a hedged request may be served, the client disconnected, or the timeout used up by a stall
         drop(attempt ->
                 attempt.request().isAnswered() || pools.clock.nowUs() - attempt.startedUs() > attempt.timeoutUs());
         writeNext();
@@ -216,22 +216,22 @@
     }
 
     /**
-     * The event loop's lateness does not count: after a long pause every pending connection would else be reported as
-     * refused by its endpoint.
+     * Does not count the event loop's lateness. Otherwise, after a long pause, every pending connection would be
+     * reported as a connect failure of its endpoint.
      */
     private void connectTimedOut() {
         if (connected || closed) {
             return;
         }
-        long now = pools.clock.nowUs();
-        long elapsed = now - connectStartedUs;
-        long waited = elapsed - (pools.clock.totalLateUs(now) - loopLateAtConnectUs);
-        if (waited < pools.connectTimeoutUs && elapsed < pools.maxConnectUs) {
-            connectTimer = pools.clock.schedule(pools.connectTimeoutUs - waited, this::connectTimedOut);
+        long nowUs = pools.clock.nowUs();
+        long elapsedUs = nowUs - connectStartedUs;
+        long waitedUs = elapsedUs - (pools.clock.totalLateUs(nowUs) - loopLateAtConnectUs);
+        if (waitedUs < pools.connectTimeoutUs && elapsedUs < pools.maxConnectUs) {
+            connectTimer = pools.clock.schedule(pools.connectTimeoutUs - waitedUs, this::connectTimedOut);
             return;
         }
-        if (waited < pools.connectTimeoutUs) {
-            dropUnsent(); // the loop's lateness, not the endpoint, has used up the time
+        if (waitedUs < pools.connectTimeoutUs) {
+            dropUnsent(); // the event loop's lateness used up the time, not the endpoint
         }
         close(CloseReason.CONNECT_TIMEOUT);
     }
@@ -243,12 +243,13 @@
     }
 
     /**
-     * Gives up an attempt whose time is over or which was cancelled; returns whether it may be executed or have been.
-     * If not, it may be sent elsewhere, so its bytes must not go out from here later.
+     * Abandons an attempt that timed out or was cancelled. Returns whether it was possibly executed or may be later. If
+     * not, it may be sent elsewhere, so this connection must not write its bytes any more.
      *
-     * <p>The connection is closed, which tells the endpoint, unless other attempts still wait on it and this one was
-     * written completely. Then it takes nothing new, and the late response is read and discarded in its turn; taken for
-     * the next attempt's, it would serve a client another's value.
+     * <p>Closes the connection, by which the endpoint learns of the cancellation, unless other attempts still wait on
+     * it and this one was written completely. In that case the connection takes no further attempts, and the late
+     * response is read and discarded in its turn; matched to the next attempt, it would give a client another client's
+     * value.
      */
     public boolean giveUp(Attempt attempt) {
         attempt.markCompleted();
@@ -276,11 +277,11 @@
         }
         Attempt attempt = attempts.peek();
         if (attempt == null) {
-            close(CloseReason.UNEXPECTED_BYTES); // the rest of them could be taken for the next request's response
+            close(CloseReason.UNEXPECTED_BYTES); // the rest could be taken for the response to the next request
             return;
         }
         if (isDuplicateOfLast(response, attempt)) {
-            retired = true; // the response that is due may still follow
+            retired = true; // the expected response may still follow
             return;
         }
         String problem = problemWith(response, attempt);
@@ -289,8 +290,8 @@
             return;
         }
         AttemptCompletion completion = AttemptCompletion.of(response.status());
-        if (response.hasNoOpaque() && uncertain && !pools.hedging && completion != AttemptCompletion.MISS) {
-            // may be another's: sent again while it is still on this connection, it would amount to a hedged request
+        if (response.hasNoOpaque() && idempotentOnly && !pools.hedging && completion != AttemptCompletion.MISS) {
+            // may belong to another request: a retry while this attempt is still in flight would be a hedged request
             attempts.poll();
             close(CloseReason.AMBIGUOUS_RESPONSE);
             complete(attempt, completion, response);
@@ -305,26 +306,26 @@
                 && !lastOpaque.equals(attempt.request().command().opaque());
     }
 
-    /** Why the response cannot be used for the attempt whose turn it is; null where it can. */
+    /** Why the response can't be used for the attempt that expects one; null if it can. */
     private String problemWith(MetaResponse response, Attempt attempt) {
         if (response.status() == ResponseStatus.MALFORMED) {
-            return PrintableText.of(response.malformation());
+            return PrintableText.of(response.malformedReason());
         }
         if (!attempt.written || !response.matches(attempt.request().command())) {
-            return "a response that does not match the request";
+            return "response does not match the request";
         }
-        if (response.hasNoOpaque() && uncertain && !attempt.request().isIdempotent()) {
-            return "a response without an id that may be another request's";
+        if (response.hasNoOpaque() && idempotentOnly && !attempt.request().isIdempotent()) {
+            return "response without an id may belong to another request";
         }
         return null;
     }
 
     private void accept(Attempt attempt, AttemptCompletion completion, MetaResponse response) {
         retired |= completion.reuse() == AttemptCompletion.Reuse.CLOSE;
-        uncertain |= completion.reuse() == AttemptCompletion.Reuse.IDEMPOTENT_ONLY;
+        idempotentOnly |= completion.reuse() == AttemptCompletion.Reuse.IDEMPOTENT_ONLY;
         attempts.poll();
         lastOpaque = response.opaque();
-        resting = attempts.isEmpty();
+        becomingIdle = attempts.isEmpty();
         complete(attempt, completion, response);
         if (retired && attempts.stream().allMatch(Attempt::isCompleted)) {
             close(CloseReason.RETIRED);
@@ -332,14 +333,14 @@
     }
 
     /**
-     * Only here a connection becomes idle: bytes right behind a response, in the same read, would else be taken for the
-     * response of the next request, which may then run for nothing.
+     * A connection becomes idle only here, at the end of a read. Otherwise surplus bytes behind a response, in the same
+     * read, would be taken for the response to the next request, which would then be executed in vain.
      */
     @Override
     public void channelReadComplete(ChannelHandlerContext ctx) {
         boolean insideResponse = decoder.isInsideMessage();
-        if (resting && !closed) {
-            resting = false;
+        if (becomingIdle && !closed) {
+            becomingIdle = false;
             if (attempts.isEmpty() && (insideResponse || retired)) {
                 close(insideResponse ? CloseReason.UNEXPECTED_BYTES : CloseReason.RETIRED);
             } else if (attempts.isEmpty()) {
@@ -348,22 +349,22 @@
         }
         cancelStallTimer();
         if (insideResponse && !closed) {
-            int timer = stallTimers;
-            // what arrived while the loop itself stalled is read first
+            int generation = stallTimerGeneration;
+            // data that arrived while the event loop itself stalled is read first
             stallTimer = pools.clock.schedule(
-                    RESPONSE_STALL_US, () -> pools.clock.scheduleAfterRead(() -> responseStalled(timer)));
+                    RESPONSE_STALL_US, () -> pools.clock.scheduleAfterRead(() -> responseStalled(generation)));
         }
         ctx.fireChannelReadComplete();
     }
 
-    private void responseStalled(int timer) {
-        if (stallTimers == timer && !closed) {
-            protocolError("a response that does not end");
+    private void responseStalled(int generation) {
+        if (stallTimerGeneration == generation && !closed) {
+            protocolError("response stopped before it was complete");
         }
     }
 
     private void cancelStallTimer() {
-        stallTimers++;
+        stallTimerGeneration++;
         if (stallTimer != null) {
             stallTimer.cancel(false);
             stallTimer = null;
@@ -371,11 +372,11 @@
     }
 
     /**
-     * The response of the attempt whose turn it is cannot be used, nor anything after it, since it is no longer certain
-     * which request a response belongs to. The request was possibly executed.
+     * Completes the attempt that expects the next response as malformed and closes the connection, since it is no
+     * longer certain which request a later response belongs to. The request was possibly executed.
      */
     private void protocolError(String problem) {
-        pools.log.line("endpoint " + pool.name() + " broke the protocol: " + problem);
+        pools.log.line("protocol error from endpoint " + pool.name() + ": " + problem);
         Attempt attempt = attempts.poll();
         if (attempt != null) {
             complete(attempt, AttemptCompletion.MALFORMED, null);
@@ -383,9 +384,9 @@
         close(CloseReason.PROTOCOL_ERROR);
     }
 
-    /** Closes this connection in place of letting it become idle, should it be about to. */
-    void closeIfResting() {
-        retired |= resting;
+    /** If this connection is about to become idle, makes it close instead. */
+    void closeIfBecomingIdle() {
+        retired |= becomingIdle;
     }
 
     private void complete(Attempt attempt, AttemptCompletion completion, MetaResponse response) {
@@ -415,7 +416,7 @@
         closed(reason);
     }
 
-    /** Ends the attempts that are left: their bytes were either written, and may be executed, or never will be. */
+    /** Completes the remaining attempts: possibly executed if written, otherwise never executed. */
     private void closed(CloseReason reason) {
         if (closed) {
             return;
--- a/proxy/src/main/java/cacheproxy/upstream/EndpointPool.java
+++ b/proxy/src/main/java/cacheproxy/upstream/EndpointPool.java
@@ -10,25 +10,25 @@
 import java.util.List;
 import java.util.Map;
 
-/** This proxy's connections to one endpoint. Lives on the event loop. */
+/** This proxy's connections to one endpoint. Used on the event loop only. */
 public final class EndpointPool {
-    private static final int MAX_UNCERTAIN_IDLE = 8;
+    private static final int MAX_IDEMPOTENT_ONLY_IDLE = 8;
 
     private final EndpointPools pools;
     private final String name;
     private SocketAddress address;
     private long startedUs;
     private boolean restarted;
-    /** The endpoint takes nothing new: a connection that becomes idle is closed. */
-    private boolean leaving;
+    /** The endpoint is draining or gone and is sent nothing new: a connection that becomes idle is closed. */
+    private boolean drainingOrGone;
     /** Consecutive rejections of requests from clients whose requests other endpoints have served. */
     private int consecutiveRejections;
 
     private final List<EndpointConnection> connections = new ArrayList<>();
-    /** Newest last. The newest is used first, so that those which are not needed grow old and are closed. */
+    /** Most recently used last and taken first, so that surplus connections reach the idle timeout and are closed. */
     private final ArrayDeque<EndpointConnection> idle = new ArrayDeque<>();
-    /** Idle connections for idempotent requests alone, which use them first. */
-    private final ArrayDeque<EndpointConnection> uncertainIdle = new ArrayDeque<>();
+    /** Idle connections that only idempotent requests may use; these prefer them to the others. */
+    private final ArrayDeque<EndpointConnection> idempotentOnlyIdle = new ArrayDeque<>();
 
     private final Map<EndpointConnection, Future<?>> idleTimers = new HashMap<>();
 
@@ -39,7 +39,7 @@
         this.startedUs = startedUs;
     }
 
-    /** The endpoint's name as the log shows it. */
+    /** The endpoint's name as printed in the log. */
     public String name() {
         return name;
     }
@@ -49,23 +49,23 @@
     }
 
     /**
-     * Sends an attempt, on a connection of its own while there is capacity: behind another request its response would
-     * wait for that one's, and be lost with it.
+     * Sends an attempt, on a connection of its own while there is capacity. On a shared connection its response would
+     * wait behind the other request's response and be lost with the connection.
      */
     public void send(Attempt attempt) {
         boolean idempotent = attempt.request().isIdempotent();
         EndpointConnection connection = takeIdle(idempotent);
         if (connection == null && connections.size() >= pools.connectionsPerEndpoint()) {
-            connection = shared(idempotent);
+            connection = findShareable(idempotent);
         }
         if (connection == null) {
             connection = pools.connect(this);
         }
         if (connection == null) {
-            connection = shared(idempotent); // no descriptor is left
+            connection = findShareable(idempotent); // no file descriptor is left
         }
         if (connection == null) {
-            pools.logNoDescriptor(this);
+            pools.logNoFileDescriptor(this);
             pools.listener.attemptCompleted(attempt, AttemptCompletion.NO_CAPACITY, null);
             return;
         }
@@ -73,13 +73,13 @@
     }
 
     private EndpointConnection takeIdle(boolean idempotent) {
-        EndpointConnection uncertain = idempotent ? takeNewest(uncertainIdle, idempotent) : null;
-        return uncertain != null ? uncertain : takeNewest(idle, idempotent);
+        EndpointConnection idempotentOnly = idempotent ? takeNewest(idempotentOnlyIdle, idempotent) : null;
+        return idempotentOnly != null ? idempotentOnly : takeNewest(idle, idempotent);
     }
 
-    private EndpointConnection takeNewest(ArrayDeque<EndpointConnection> from, boolean idempotent) {
-        while (!from.isEmpty()) {
-            EndpointConnection connection = from.pollLast();
+    private EndpointConnection takeNewest(ArrayDeque<EndpointConnection> candidates, boolean idempotent) {
+        while (!candidates.isEmpty()) {
+            EndpointConnection connection = candidates.pollLast();
             cancelIdleTimer(connection);
             if (idempotent ? connection.isUsable() : connection.isUsableAfterRead()) {
                 return connection;
@@ -88,11 +88,11 @@
         return null;
     }
 
-    /** The connection with the fewest requests on it, where connections may carry more than one. */
-    private EndpointConnection shared(boolean idempotent) {
+    /** The connection with the fewest attempts on it, if connections may be shared. */
+    private EndpointConnection findShareable(boolean idempotent) {
         EndpointConnection best = leastLoaded(idempotent);
-        while (best != null && !idempotent && (!best.isUsableAfterRead() || best.isUncertain())) {
-            best = leastLoaded(idempotent); // reading has ended that one or made it uncertain
+        while (best != null && !idempotent && (!best.isUsableAfterRead() || best.isIdempotentOnly())) {
+            best = leastLoaded(idempotent); // the read closed that connection or restricted it to idempotent requests
         }
         return best;
     }
@@ -111,13 +111,13 @@
 
     private boolean canShare(EndpointConnection connection, boolean idempotent) {
         return connection.isUsable()
-                && (idempotent || !connection.isUncertain())
+                && (idempotent || !connection.isIdempotentOnly())
                 && connection.load() < pools.streamsPerConnection;
     }
 
     /**
-     * The endpoint has served or rejected a request of this client. Returns whether a rejection shows that the endpoint
-     * itself is at fault.
+     * Records that the endpoint served or rejected a request of this client. Returns whether a rejection shows that the
+     * endpoint itself is at fault.
      */
     public boolean isAtFault(RejectionEvidence client, boolean rejected) {
         if (!rejected) {
@@ -133,22 +133,22 @@
         connections.add(connection);
     }
 
-    /** A connection has nothing on it any more. */
+    /** Keeps a connection without attempts for reuse, or closes it. */
     void becameIdle(EndpointConnection connection) {
-        if (leaving) {
-            connection.close(CloseReason.ENDPOINT_LEFT);
+        if (drainingOrGone) {
+            connection.close(CloseReason.ENDPOINT_DRAINING_OR_GONE);
             return;
         }
         if (!connection.remoteAddress().equals(address)) {
             connection.close(CloseReason.ADDRESS_CHANGED);
             return;
         }
-        if (connection.isUncertain() && uncertainIdle.size() >= MAX_UNCERTAIN_IDLE) {
-            // each busy response to a write leaves one behind: they would fill the endpoint
-            uncertainIdle.peekFirst().close(CloseReason.MAKES_ROOM);
+        if (connection.isIdempotentOnly() && idempotentOnlyIdle.size() >= MAX_IDEMPOTENT_ONLY_IDLE) {
+            // each busy response to a write leaves one behind; unbounded, they would use up the endpoint's connections
+            idempotentOnlyIdle.peekFirst().close(CloseReason.EVICTED);
         }
-        (connection.isUncertain() ? uncertainIdle : idle).addLast(connection);
-        // closed before the endpoint closes it: a request written in that moment would end as a reset
+        (connection.isIdempotentOnly() ? idempotentOnlyIdle : idle).addLast(connection);
+        // closed before the endpoint closes it: a request written at that moment would end with a reset
         idleTimers.put(connection, pools.clock.schedule(pools.idleTimeoutUs, () -> connection.close(CloseReason.IDLE)));
     }
 
@@ -162,21 +162,21 @@
     void remove(EndpointConnection connection) {
         if (connections.remove(connection)) {
             idle.remove(connection);
-            uncertainIdle.remove(connection);
+            idempotentOnlyIdle.remove(connection);
             cancelIdleTimer(connection);
             pools.connectionClosed();
         }
     }
 
-    void leave() {
-        leaving = true;
+    void onDrainingOrGone() {
+        drainingOrGone = true;
         closeIdle();
         List.copyOf(connections).forEach(EndpointConnection::dropUnsent);
     }
 
-    /** The endpoint is listed, perhaps with another address or a new start. */
+    /** The endpoint is listed, possibly with another address or a later start time. */
     void update(SocketAddress newAddress, long newStartedUs) {
-        leaving = false;
+        drainingOrGone = false;
         restarted |= newStartedUs > startedUs;
         startedUs = newStartedUs;
         if (!address.equals(newAddress)) {
@@ -186,8 +186,8 @@
     }
 
     /**
-     * The router has been notified of the list: attempts that wait to be written to an earlier address, or were decided
-     * before the endpoint restarted, are decided anew.
+     * The router has been notified of the endpoint list. Attempts that wait to be written to an earlier address, or
+     * were routed before the endpoint restarted, are routed again.
      */
     void routerNotified() {
         for (EndpointConnection connection : List.copyOf(connections)) {
@@ -198,26 +198,27 @@
         restarted = false;
     }
 
-    /** Closes all idle connections, and those that are about to become idle. */
+    /** Closes all idle connections, and makes those that are about to become idle close instead. */
     public void closeIdle() {
-        while (closeOldestIdle(CloseReason.ENDPOINT_LEFT)) {
-            // until none is left
+        while (closeOldestIdle(CloseReason.ENDPOINT_DRAINING_OR_GONE)) {
+            // repeats until no connection is idle
         }
-        connections.forEach(EndpointConnection::closeIfResting);
+        connections.forEach(EndpointConnection::closeIfBecomingIdle);
     }
 
-    /** Closes the oldest idle connection that only idempotent requests may use; false where there is none. */
-    boolean closeOldestUncertain() {
-        EndpointConnection connection = uncertainIdle.peekFirst();
+    /** Closes the oldest idle connection that only idempotent requests may use; returns false if there is none. */
+    boolean closeOldestIdempotentOnly() {
+        EndpointConnection connection = idempotentOnlyIdle.peekFirst();
         if (connection != null) {
-            connection.close(CloseReason.MAKES_ROOM);
+            connection.close(CloseReason.EVICTED);
         }
         return connection != null;
     }
 
-    /** Closes the longest idle connection, first of those for idempotent requests; false where none is idle. */
+    /** Closes the oldest idle connection, first of those for idempotent requests; returns false if none is idle. */
     boolean closeOldestIdle(CloseReason reason) {
-        EndpointConnection connection = uncertainIdle.isEmpty() ? idle.peekFirst() : uncertainIdle.peekFirst();
+        EndpointConnection connection =
+                idempotentOnlyIdle.isEmpty() ? idle.peekFirst() : idempotentOnlyIdle.peekFirst();
         if (connection == null) {
             return false;
         }
--- a/proxy/src/main/java/cacheproxy/upstream/EndpointPools.java
+++ b/proxy/src/main/java/cacheproxy/upstream/EndpointPools.java
@@ -18,40 +18,40 @@
 import java.util.Map;
 
 /**
- * The connections to all endpoints, by the router's number of the endpoint, within one bound on descriptors. Lives on
- * the event loop.
+ * The connection pools of all endpoints, by the number that the router gave the endpoint. One limit on file descriptors
+ * applies to all of them together. Used on the event loop only.
  */
 public final class EndpointPools {
-    /** An idle connection is closed this part of the idle timeout before the endpoint would close it. */
+    /** An idle connection is closed this fraction (1/n) of the idle timeout before the endpoint would close it. */
     private static final long IDLE_MARGIN_DIVISOR = 5;
 
-    private static final long MAX_RESPONSE_BYTES_COMING = 12L << 20;
+    private static final long MAX_INCOMING_RESPONSE_BYTES = 12L << 20;
 
     final EventLoopClock clock;
     final Log log;
     final AttemptListener listener;
     final boolean hedging;
-    /** Requests that may share one connection at a time. */
+    /** How many requests may share one connection at a time. */
     final int streamsPerConnection;
     /** How long an unused connection is kept, in microseconds. */
     final long idleTimeoutUs;
-    /** How long a connection may take to be established, not counting the event loop's lateness, in microseconds. */
+    /** How long connecting may take, not counting the event loop's lateness, in microseconds. */
     final long connectTimeoutUs;
-    /** One that took longer by the clock is not used: its endpoint may be draining by now. */
+    /** A connection that took longer, lateness included, is not used: the endpoint may be draining by then. */
     final long maxConnectUs;
 
     private final int maxConnections;
     private final int maxConnectionsPerEndpoint;
     private final EventLoop loop;
     private final Bootstrap bootstrap;
-    private final Map<Integer, EndpointPool> byNumber = new HashMap<>();
-    private final ByteBudget comingBytes = new ByteBudget(MAX_RESPONSE_BYTES_COMING);
+    private final Map<Integer, EndpointPool> poolsByNumber = new HashMap<>();
+    private final ByteBudget comingBytes = new ByteBudget(MAX_INCOMING_RESPONSE_BYTES);
     private int connections;
 
     /**
-     * @param channels makes the channel of a new connection
-     * @param maxConnections descriptors for all endpoints together
-     * @param maxConnectionsPerEndpoint before requests share connections; 0 for an equal part of all
+     * @param channels creates the channel of a new connection
+     * @param maxConnections file descriptors for all endpoints together
+     * @param maxConnectionsPerEndpoint before requests share connections; 0 for an equal share of maxConnections
      */
     public EndpointPools(
             RoutingSettings settings,
@@ -69,7 +69,7 @@
         this.maxConnections = maxConnections;
         this.maxConnectionsPerEndpoint = maxConnectionsPerEndpoint;
         hedging = settings.hedgingAllowed;
-        // an attempt given up on a shared connection stays on it, which amounts to a hedged request
+        // an abandoned attempt stays in flight on a shared connection; its retry would be a hedged request
         streamsPerConnection = hedging ? settings.streamsPerConnection : 1;
         idleTimeoutUs = settings.idleTimeoutUs - settings.idleTimeoutUs / IDLE_MARGIN_DIVISOR;
         connectTimeoutUs = settings.effectiveConnectTimeoutUs();
@@ -80,41 +80,41 @@
                 .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, 0); // EndpointConnection's own timer allows for stalls
     }
 
-    /** The endpoint list names this endpoint as serving or draining, at this address. */
+    /** Adds or updates an endpoint that is listed as serving or draining at this address. */
     public void put(int endpoint, String name, SocketAddress address, long startedUs) {
-        EndpointPool pool = byNumber.get(endpoint);
+        EndpointPool pool = poolsByNumber.get(endpoint);
         if (pool == null) {
-            byNumber.put(endpoint, new EndpointPool(this, name, address, startedUs));
+            poolsByNumber.put(endpoint, new EndpointPool(this, name, address, startedUs));
         } else {
             pool.update(address, startedUs);
         }
     }
 
-    /** The router has been notified of the list in which the endpoint may have a new address or a new start. */
+    /** The router has been notified of a list in which the endpoint may have a new address or start time. */
     public void routerNotified(int endpoint) {
-        EndpointPool pool = byNumber.get(endpoint);
+        EndpointPool pool = poolsByNumber.get(endpoint);
         if (pool != null) {
             pool.routerNotified();
         }
     }
 
-    /** The endpoint is draining, or removed from the list. */
+    /** The endpoint is draining, or was removed from the list. */
     public void leave(int endpoint, boolean removed) {
-        EndpointPool pool = byNumber.get(endpoint);
+        EndpointPool pool = poolsByNumber.get(endpoint);
         if (pool != null) {
-            pool.leave();
+            pool.onDrainingOrGone();
             if (removed) {
-                byNumber.remove(endpoint);
+                poolsByNumber.remove(endpoint);
             }
         }
     }
 
-    /** The pool of a listed endpoint; null for any other. */
+    /** The pool of a listed endpoint; null if the endpoint is not listed. */
     public EndpointPool get(int endpoint) {
-        return byNumber.get(endpoint);
+        return poolsByNumber.get(endpoint);
     }
 
-    /** The bytes of responses that are coming now. */
+    /** The bytes reserved for responses that are being received. */
     public long comingBytes() {
         return comingBytes.reservedBytes();
     }
@@ -123,16 +123,16 @@
     int connectionsPerEndpoint() {
         return maxConnectionsPerEndpoint > 0
                 ? maxConnectionsPerEndpoint
-                : Math.max(1, maxConnections / Math.max(1, byNumber.size()));
+                : Math.max(1, maxConnections / Math.max(1, poolsByNumber.size()));
     }
 
-    void logNoDescriptor(EndpointPool pool) {
-        log.line("no descriptor left for a connection to endpoint " + pool.name());
+    void logNoFileDescriptor(EndpointPool pool) {
+        log.line("no file descriptor left for a connection to endpoint " + pool.name());
     }
 
-    /** A new connection; null where no descriptor is left for it. */
+    /** Opens a new connection; null if no file descriptor is left for it. */
     EndpointConnection connect(EndpointPool pool) {
-        if (connections >= maxConnections && !closeAnIdleConnection()) {
+        if (connections >= maxConnections && !evictIdleConnection()) {
             return null;
         }
         connections++;
@@ -156,9 +156,9 @@
         return connection;
     }
 
-    private boolean closeAnIdleConnection() {
-        return byNumber.values().stream().anyMatch(EndpointPool::closeOldestUncertain)
-                || byNumber.values().stream().anyMatch(pool -> pool.closeOldestIdle(CloseReason.MAKES_ROOM));
+    private boolean evictIdleConnection() {
+        return poolsByNumber.values().stream().anyMatch(EndpointPool::closeOldestIdempotentOnly)
+                || poolsByNumber.values().stream().anyMatch(pool -> pool.closeOldestIdle(CloseReason.EVICTED));
     }
 
     void connectionClosed() {
--- a/proxy/src/main/java/cacheproxy/upstream/UpstreamRequest.java
+++ b/proxy/src/main/java/cacheproxy/upstream/UpstreamRequest.java
@@ -2,16 +2,16 @@
 
 import cacheproxy.memcache.MetaCommand;
 
-/** What connections to endpoints need to know of the request that an attempt is for. */
+/** The request that an attempt is made for, as the connections to endpoints see it. */
 public interface UpstreamRequest {
-    /** The router's number for it. */
+    /** The number under which the router knows the request. */
     long id();
 
     MetaCommand command();
 
-    /** Whether it may be executed twice without harm. */
+    /** Whether the request may be executed twice without harm. */
     boolean isIdempotent();
 
-    /** Whether the client has its response already, or has gone: nothing more is to be sent for it. */
+    /** Whether the client got its response or disconnected; nothing more is sent for the request then. */
     boolean isAnswered();
 }
--- a/proxy/src/main/java/cacheproxy/upstream/package-info.java
+++ b/proxy/src/main/java/cacheproxy/upstream/package-info.java
@@ -1,7 +1,7 @@
 /**
- * Connections to cache endpoints: a pool for each endpoint, within one bound on descriptors for all, and the attempts
- * on each connection in the order of their responses. Everything runs on the event loop. Decides nothing about where a
- * request goes or whether it is retried; each attempt ends in exactly one
+ * Connections to cache endpoints: one pool per endpoint, a common limit on file descriptors, and on each connection the
+ * attempts in the order of their responses. Everything runs on the event loop. This package doesn't decide where a
+ * request is sent or whether it is retried; each attempt ends with exactly one
  * {@link cacheproxy.upstream.AttemptCompletion}.
  */
 package cacheproxy.upstream;
