--- a/proxy/src/main/java/cacheproxy/limits/FailureAttribution.java
+++ b/proxy/src/main/java/cacheproxy/limits/FailureAttribution.java
@@ -7,8 +7,8 @@
 public final class FailureAttribution {
     /**
      * A timeout counts only if the client allowed at least this fraction of the latency objective. Otherwise any client
-     * could make an endpoint or a tenant look unhealthy with deadlines that can't be met. A higher fraction would ignore
-     * the last attempts of well-behaved clients.
+     * could make an endpoint or a tenant look unhealthy with deadlines that can't be met. A higher fraction would
+     * ignore the last attempts of well-behaved clients.
      */
     public static final double MIN_DEADLINE_FRACTION = 0.05;
     /** The event loop caused a timeout if its lateness exceeds this fraction (1/n) of the attempt's timeout. */
--- a/proxy/src/main/java/cacheproxy/memcache/MetaProtocolDecoder.java
+++ b/proxy/src/main/java/cacheproxy/memcache/MetaProtocolDecoder.java
@@ -22,7 +22,7 @@
     /** Returned by {@link #parseNumber} for text that is not a number; as a block length it loses the framing. */
     protected static final int NOT_A_NUMBER = -2;
 
-    /** The only bytes reserved for an announced block before its data arrives, so that a silent peer can't use up all. */
+    /** Reserved for an announced block before its data arrives, so that a silent peer can't use up the budget. */
     private static final int INITIAL_BLOCK_BYTES = 4 << 10;
 
     private static final int MAX_NUMBER_DIGITS = 9;
--- a/proxy/src/test/java/cacheproxy/limits/DeficitRoundRobinTest.java
+++ b/proxy/src/test/java/cacheproxy/limits/DeficitRoundRobinTest.java
@@ -20,7 +20,7 @@
     private static final class Flow {
         private final DeficitRoundRobin.FlowState state = new DeficitRoundRobin.FlowState();
         private final double maxCost;
-        private double served;
+        private double servedWork;
 
         Flow(double maxCost) {
             this.maxCost = maxCost;
@@ -28,43 +28,44 @@
     }
 
     /**
-     * Against the ideal scheduler, which serves all queued flows equally: no two flows are further apart than a quantum
-     * and the most expensive piece of each, even for one that asks for much, in large pieces, or leaves and returns.
+     * Compares with an ideal scheduler, which serves all queued flows equally: the work of two flows differs by at most
+     * a quantum and the most expensive piece of work of each, even if a flow has expensive work or leaves the queue and
+     * returns.
      */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4, 5, 6, 7, 8})
-    void flowsThatAreAlwaysQueuedAreServedEquallyWithinTheBound(long seed) {
+    void servesQueuedFlowsEquallyWithinBound(long seed) {
         Random random = new Random(seed);
         DeficitRoundRobin<Flow> scheduler = new DeficitRoundRobin<>(QUANTUM);
-        List<Flow> all = new ArrayList<>();
+        List<Flow> flows = new ArrayList<>();
         for (int i = 0; i < 12; i++) {
-            Flow f = new Flow(i % 3 == 0 ? MAX_COST : 1 + random.nextInt(4));
-            all.add(f);
-            scheduler.onWorkArrived(f.state);
-            scheduler.enqueue(f, f.state);
+            Flow flow = new Flow(i % 3 == 0 ? MAX_COST : 1 + random.nextInt(4));
+            flows.add(flow);
+            scheduler.onWorkArrived(flow.state);
+            scheduler.enqueue(flow, flow.state);
         }
         for (int step = 0; step < 20_000; step++) {
-            Flow f = scheduler.next();
-            while (f.state.hasCredit()) {
-                double cost = 1 + random.nextDouble() * (f.maxCost - 1);
-                f.state.charge(cost);
-                f.served += cost;
+            Flow flow = scheduler.next();
+            while (flow.state.hasCredit()) {
+                double cost = 1 + random.nextDouble() * (flow.maxCost - 1);
+                flow.state.charge(cost);
+                flow.servedWork += cost;
             }
-            assertTrue(f == all.get(0) || scheduler.enqueue(f, f.state));
-            if (f == all.get(0)) { // queued again at once, as if with new work: must gain nothing
-                scheduler.enqueue(f, f.state);
-                scheduler.onWorkArrived(f.state);
+            assertTrue(flow == flows.get(0) || scheduler.enqueue(flow, flow.state));
+            if (flow == flows.get(0)) { // queued again with new work at once, which must not gain it anything
+                scheduler.enqueue(flow, flow.state);
+                scheduler.onWorkArrived(flow.state);
             }
-            double most = all.stream().mapToDouble(x -> x.served).max().orElseThrow();
-            double least = all.stream().mapToDouble(x -> x.served).min().orElseThrow();
+            double maxServed = flows.stream().mapToDouble(other -> other.servedWork).max().orElseThrow();
+            double minServed = flows.stream().mapToDouble(other -> other.servedWork).min().orElseThrow();
             assertTrue(
-                    most - least <= 2 * (QUANTUM + MAX_COST),
-                    "seed " + seed + ", step " + step + ": " + most + " and " + least);
+                    maxServed - minServed <= 2 * (QUANTUM + MAX_COST),
+                    "seed " + seed + ", step " + step + ": " + maxServed + " and " + minServed);
         }
     }
 
     @Test
-    void aFlowIsQueuedOnceAndLeavesInOrder() {
+    void queuesEachFlowOnceInOrder() {
         DeficitRoundRobin<String> scheduler = new DeficitRoundRobin<>(QUANTUM);
         DeficitRoundRobin.FlowState a = new DeficitRoundRobin.FlowState();
         DeficitRoundRobin.FlowState b = new DeficitRoundRobin.FlowState();
@@ -77,20 +78,20 @@
         assertNull(scheduler.next());
     }
 
-    /** Otherwise a paused process would admit a burst of everything that accrued meanwhile. */
+    /** Otherwise a process that was paused would admit a burst of all tokens that accrued meanwhile. */
     @Test
-    void aTokenBucketHoldsNoMoreThanItsCapacityAfterAPause() {
+    void tokenBucketHoldsAtMostItsCapacityAfterPause() {
         TokenBucket bucket = new TokenBucket(2, 5, 0);
         int taken = 0;
-        for (long t = 0; t < 10_000_000; t += 100_000) {
-            taken += bucket.tryConsume(t) ? 1 : 0;
+        for (long nowUs = 0; nowUs < 10_000_000; nowUs += 100_000) {
+            taken += bucket.tryConsume(nowUs) ? 1 : 0;
         }
         assertEquals(5 + 19, taken, 1);
-        int after = 0;
+        int takenAfterPause = 0;
         for (int i = 0; i < 50; i++) {
-            after += bucket.tryConsume(3_600_000_000L) ? 1 : 0;
+            takenAfterPause += bucket.tryConsume(3_600_000_000L) ? 1 : 0;
         }
-        assertEquals(5, after);
-        assertFalse(bucket.tryConsume(0), "a clock that goes back adds nothing");
+        assertEquals(5, takenAfterPause);
+        assertFalse(bucket.tryConsume(0), "a clock that goes backward adds no tokens");
     }
 }
--- a/proxy/src/test/java/cacheproxy/memcache/MetaResponseDecoderTest.java
+++ b/proxy/src/test/java/cacheproxy/memcache/MetaResponseDecoderTest.java
@@ -12,7 +12,7 @@
 import java.nio.charset.StandardCharsets;
 import org.junit.jupiter.api.Test;
 
-/** The fields of an endpoint's response lines. */
+/** Tests the decoding of endpoint response lines and their flags. */
 class MetaResponseDecoderTest {
 
     private static MetaResponse decode(String text) {
@@ -21,14 +21,14 @@
         return channel.readInbound();
     }
 
-    private static LoadReport load(String fields) {
+    private static LoadReport loadReport(String fields) {
         LoadReport report = new LoadReport();
         decode("HD Oa1 c7 L" + fields + "\r\n").readLoadReport(report);
         return report;
     }
 
     @Test
-    void cacheFlagsAreDecoded() {
+    void decodesCacheFlags() {
         assertEquals(CacheResult.HIT, decode("HD Oa1 c7 h1\r\n").cacheNote());
         assertEquals(CacheResult.MISS, decode("HD Oa1 c7 h0\r\n").cacheNote());
         assertEquals(
@@ -38,40 +38,40 @@
     }
 
     @Test
-    void loadFieldsWithoutAFigureAreLeftOut() {
-        LoadReport report = load("util,=2,busy=0.25,rif=3,inflight");
+    void ignoresLoadFieldsWithoutNumber() {
+        LoadReport report = loadReport("util,=2,busy=0.25,rif=3,inflight");
         assertEquals(0.25, report.cpuUtilization);
         assertEquals(3, report.inFlight);
         assertTrue(Double.isNaN(report.queueLength));
     }
 
-    /** An endpoint that reports a hundred busy cores would count as the busier one for minutes. */
+    /** If believed, a report of a hundred busy cores would make the endpoint look overloaded for minutes. */
     @Test
-    void impossibleLoadFiguresAreLeftOut() {
-        assertEquals(4, load("busy=4").cpuUtilization);
-        assertTrue(Double.isNaN(load("busy=4.5,rif=3").cpuUtilization));
-        assertEquals(3, load("busy=4.5,rif=3").inFlight);
-        assertEquals(1e7, load("rif=10000000").inFlight);
-        assertTrue(Double.isNaN(load("rif=10000001").inFlight));
-        assertEquals(0, load("rif=0").inFlight, "zero is a figure");
+    void ignoresImplausibleLoadNumbers() {
+        assertEquals(4, loadReport("busy=4").cpuUtilization);
+        assertTrue(Double.isNaN(loadReport("busy=4.5,rif=3").cpuUtilization));
+        assertEquals(3, loadReport("busy=4.5,rif=3").inFlight);
+        assertEquals(1e7, loadReport("rif=10000000").inFlight);
+        assertTrue(Double.isNaN(loadReport("rif=10000001").inFlight));
+        assertEquals(0, loadReport("rif=0").inFlight, "zero is a valid number");
     }
 
     @Test
-    void blankLinesAreMalformed() {
+    void reportsBlankLinesAsMalformed() {
         assertEquals(ResponseStatus.MALFORMED, decode("\r\n").status());
         assertEquals(ResponseStatus.MALFORMED, decode("   \r\n").status());
     }
 
     @Test
-    void extraBlanksBetweenFieldsAreSkipped() {
+    void skipsExtraBlanksBetweenFields() {
         MetaResponse response = decode("HD  Oa1  c7\r\n");
         assertEquals("Oa1", response.opaque());
         assertEquals("c7", response.receipt());
     }
 
-    /** The protocol has no id on an error line, so one that stands there says nothing about the request. */
+    /** Error lines have no id in this protocol, so a token that looks like one must not be used to match a request. */
     @Test
-    void errorLinesHaveNoOpaque() {
+    void ignoresIdOnErrorLines() {
         for (String line :
                 new String[] {"SERVER_ERROR busy 40 Oa1", "SERVER_ERROR failed Oa1", "EN", "CLIENT_ERROR x", "ERROR"}) {
             assertTrue(decode(line + "\r\n").hasNoOpaque(), line);
@@ -82,17 +82,17 @@
     }
 
     @Test
-    void flagsForTheProxyAreNotEncodedForTheClient() {
+    void encodesForClientWithoutProxyFlags() {
         ByteBuf line = decode("HD Oa1 c7 h0 Z Lbusy=0.5\r\n").encode();
         assertEquals("HD Oa1 c7\r\n", line.toString(StandardCharsets.ISO_8859_1));
         ByteBuf value = decode("VA 2 Oa1 h1 Lbusy=0.5\r\nok\r\n").encode();
         assertEquals("VA 2 Oa1\r\nok\r\n", value.toString(StandardCharsets.ISO_8859_1));
     }
 
-    /** One report object is used for all responses. */
+    /** One report object is reused for all responses, so the previous report must not remain in it. */
     @Test
-    void aResponseWithoutALoadReportClearsTheReport() {
-        LoadReport report = load("busy=0.5,rif=3");
+    void responseWithoutLoadReportClearsReport() {
+        LoadReport report = loadReport("busy=0.5,rif=3");
         decode("HD Oa2 c7\r\n").readLoadReport(report);
         assertTrue(Double.isNaN(report.cpuUtilization) && Double.isNaN(report.inFlight));
     }
--- /dev/null
+++ b/proxy/src/test/java/cacheproxy/server/ClientDisconnectTest.java
@@ -0,0 +1,370 @@
+package cacheproxy.server;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertFalse;
+import static org.junit.jupiter.api.Assertions.assertNull;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import cacheproxy.client.ClientSession;
+import cacheproxy.routing.RequestRouter;
+import cacheproxy.routing.RoutingRequest;
+import java.lang.reflect.InvocationTargetException;
+import java.util.ArrayList;
+import java.util.HashMap;
+import java.util.List;
+import java.util.Map;
+import java.util.concurrent.atomic.AtomicReference;
+import org.junit.jupiter.api.Test;
+import org.junit.jupiter.api.Timeout;
+
+/** Tests that after a client disconnects, its requests that were not forwarded yet are not forwarded any more. */
+@Timeout(60)
+class ClientDisconnectTest {
+    /** Longer than any wait in these tests, so that what they observe is not caused by a deadline. */
+    private static final int LONG_DEADLINE_MS = 60_000;
+
+    /** Extends the latency objective too: at a fraction of it the router would count the delay against the node. */
+    private static String withLongDeadlines(String settings) {
+        return settings.replace("\"deadlineMs\":5000.0", "\"deadlineMs\":" + LONG_DEADLINE_MS + ".0")
+                .replace("\"targetMs\":750.0", "\"targetMs\":40000.0");
+    }
+
+    private interface Disconnect {
+        void apply(Peer client) throws Exception;
+    }
+
+    private static final List<Disconnect> DISCONNECTS = List.of(Peer::close, Peer::reset, c -> c.socket.shutdownOutput());
+
+    /** Disconnects a client whose connection is not read from, and expects its attempt to be cancelled at the node. */
+    private static void expectCancelled(String trailingInput, boolean rejectIncompleteCommand) throws Exception {
+        for (Disconnect disconnect : DISCONNECTS) {
+            try (Fixture fixture = new Fixture(1, ClientDisconnectTest::withLongDeadlines, 1024)) {
+                Peer client = fixture.client();
+                client.send(Fixture.read("a1", LONG_DEADLINE_MS) + trailingInput);
+                Peer node = fixture.nodes.get(0).next();
+                assertEquals("Oa1", Arrivals.command(node));
+                if (rejectIncompleteCommand) {
+                    fixture.loop.submit(() -> fixture.proxy.clients.all().forEach(s -> s.failConnection("CLIENT_ERROR no end")))
+                            .get();
+                }
+                disconnect.apply(client);
+                node.expectEnd();
+            }
+        }
+    }
+
+    @Test
+    void detectsDisconnectWithoutPendingInput() throws Exception {
+        expectCancelled("", false);
+    }
+
+    /** After a framing error the connection is no longer read; the disconnect must be detected all the same. */
+    @Test
+    void detectsDisconnectAfterFramingError() throws Exception {
+        expectCancelled("x".repeat(3000) + "\r\n", false);
+    }
+
+    @Test
+    void detectsDisconnectAfterIncompleteCommand() throws Exception {
+        expectCancelled("ms 7f3a9c21e0b4d655 5 Oa2 Pc=charge,t=acme,d=4000,k=5c0f\r\nhel", true);
+    }
+
+    /** Over the limit on requests per connection it is no longer read; the disconnect must be detected all the same. */
+    @Test
+    void detectsDisconnectOverRequestLimit() throws Exception {
+        for (Disconnect disconnect : DISCONNECTS) {
+            disconnectsOverLimit(disconnect, 130);
+        }
+    }
+
+    /**
+     * After an invalid line the proxy reads nothing more from a connection for half a second. If the client disconnects
+     * meanwhile, the requests behind that line must not be forwarded afterwards.
+     */
+    @Test
+    void doesNotForwardRequestsBehindInvalidLine() throws Exception {
+        for (Disconnect disconnect : DISCONNECTS) {
+            for (boolean inSeparateWrite : new boolean[] {false, true}) {
+                for (int requests : new int[] {1, 200}) {
+                    StringBuilder commands = new StringBuilder();
+                    for (int i = 0; i < requests; i++) {
+                        commands.append(Fixture.read("a" + i, LONG_DEADLINE_MS));
+                    }
+                    try (Fixture fixture = new Fixture(1, ClientDisconnectTest::withLongDeadlines, 1024)) {
+                        Peer client = fixture.client();
+                        client.send("nonsense\r\n" + (inSeparateWrite ? "" : commands));
+                        client.expect("ERROR");
+                        if (inSeparateWrite) {
+                            client.send(commands.toString());
+                        }
+                        disconnect.apply(client);
+                        while (fixture.loop.submit(() -> fixture.proxy.clients.count() != 0).get()) {
+                            Thread.onSpinWait();
+                        }
+                        Peer other = fixture.client();
+                        other.send(Fixture.read("b1", LONG_DEADLINE_MS));
+                        Peer node = fixture.nodes.get(0).next();
+                        assertEquals("Ob1", Arrivals.command(node));
+                        assertNull(fixture.nodes.get(0).poll());
+                    }
+                }
+            }
+        }
+    }
+
+    /**
+     * The event loop is stalled while a client sends a request and disconnects. With a long drain grace the request
+     * could be forwarded before the disconnect is read, which must not happen.
+     */
+    @Test
+    void doesNotForwardRequestSentDuringStall() throws Exception {
+        for (Disconnect disconnect : DISCONNECTS) {
+            try (Fixture fixture = new Fixture(
+                    1, s -> withLongDeadlines(s).replace("\"drainGraceMs\":1000.0", "\"drainGraceMs\":18000.0"), 1024)) {
+                Peer client = fixture.client();
+                client.send("mn\r\n");
+                client.expect("MN");
+                try (Held held = new Held(fixture.loop)) {
+                    long since = System.nanoTime();
+                    client.send(Fixture.read("a1", LONG_DEADLINE_MS));
+                    disconnect.apply(client);
+                    while (System.nanoTime() - since < 400_000_000L) {
+                        Thread.onSpinWait(); // the client has been gone for longer than the loop may be late
+                    }
+                }
+                while (fixture.loop.submit(() -> fixture.proxy.clients.count() != 0).get()) {
+                    Thread.onSpinWait();
+                }
+                Peer other = fixture.client();
+                other.send(Fixture.read("b1", LONG_DEADLINE_MS));
+                assertEquals("Ob1", Arrivals.command(fixture.nodes.get(0).next()));
+            }
+        }
+    }
+
+    /** The disconnect must also be detected if many undecoded commands wait in front of it. */
+    @Test
+    void detectsDisconnectBehindManyUndecodedCommands() throws Exception {
+        for (Disconnect disconnect : DISCONNECTS) {
+            disconnectsOverLimit(disconnect, 700);
+        }
+    }
+
+    private static void disconnectsOverLimit(Disconnect disconnect, int requests) throws Exception {
+        try (Fixture fixture = new Fixture(1, ClientDisconnectTest::withLongDeadlines, 1024)) {
+            StringBuilder commands = new StringBuilder();
+            for (int i = 0; i < requests; i++) {
+                commands.append(Fixture.read("a" + i, LONG_DEADLINE_MS));
+            }
+            Peer client = fixture.client();
+            client.send(commands.toString());
+            List<Peer> nodes = new ArrayList<>();
+            for (int i = 0; i < 128; i++) {
+                nodes.add(fixture.nodes.get(0).next());
+            }
+            disconnect.apply(client);
+            for (Peer node : nodes) {
+                Arrivals.command(node);
+                node.expectEnd();
+            }
+            for (Peer node = fixture.nodes.get(0).poll();
+                    node != null;
+                    node = fixture.nodes.get(0).poll()) {
+                assertEquals(null, node.line(), "forwarded after its client disconnected");
+            }
+            while (fixture.loop.submit(() -> fixture.proxy.reserved().values().stream().anyMatch(held -> held != 0))
+                    .get()) {
+                Thread.onSpinWait(); // until all reservations are released
+            }
+        }
+    }
+
+    /**
+     * A disconnect behind more bytes than the proxy reads ahead is not read. It is detected by writing responses: the
+     * first one is not accepted by the peer, and the next can't be written. Otherwise all 200 KB of requests would be
+     * forwarded for a client that is gone.
+     */
+    @Test
+    void detectsDisconnectByWritingResponses() throws Exception {
+        for (Disconnect disconnect : DISCONNECTS.subList(0, 2)) { // a client that only shut down its output still reads responses
+            try (Fixture fixture = new Fixture(1, ClientDisconnectTest::withLongDeadlines, 1024)) {
+                StringBuilder commands = new StringBuilder();
+                for (int i = 0; i < 4000; i++) {
+                    commands.append(Fixture.read("a" + i, LONG_DEADLINE_MS));
+                }
+                Peer client = fixture.client();
+                client.send(commands.toString());
+                List<Peer> nodes = new ArrayList<>();
+                for (int i = 0; i < 128; i++) {
+                    nodes.add(fixture.nodes.get(0).next());
+                }
+                disconnect.apply(client);
+                Map<String, Peer> connectionsById = new HashMap<>();
+                for (Peer node : nodes) {
+                    connectionsById.put(Arrivals.command(node), node);
+                }
+                for (String id : List.of("Oa0", "Oa1")) {
+                    connectionsById.get(id).send("VA 1 " + id + "\r\n1\r\n");
+                }
+                while (fixture.loop.submit(() -> fixture.proxy.reserved().values().stream().anyMatch(held -> held != 0))
+                        .get()) {
+                    Thread.onSpinWait(); // until all reservations are released
+                }
+                for (Peer connection = fixture.nodes.get(0).poll();
+                        connection != null;
+                        connection = fixture.nodes.get(0).poll()) {
+                    nodes.add(connection);
+                }
+                int forwardedLate = 0;
+                for (Peer connection : nodes) {
+                    forwardedLate += connection.ready() ? 1 : 0;
+                }
+                assertTrue(forwardedLate <= 2, forwardedLate + " forwarded after the client disconnected");
+            }
+        }
+    }
+
+    /** A request that waits for a connection is not forwarded, even if the settings forbid to cancel attempts. */
+    @Test
+    void doesNotForwardRequestWaitingForConnection() throws Exception {
+        for (String mayCancel : new String[] {"true", "false"}) {
+            for (Disconnect disconnect : DISCONNECTS) {
+                try (Fixture fixture = new Fixture(
+                                1,
+                                s -> withLongDeadlines(s)
+                                        .replace("\"mayCancel\":true", "\"mayCancel\":" + mayCancel)
+                                        .replace("\"dialTimeoutMs\":400.0", "\"dialTimeoutMs\":9000.0")
+                                        .replace("\"drainGraceMs\":1000.0", "\"drainGraceMs\":40000.0")
+                                        .replace("\"multiplex\":1", "\"multiplex\":4")
+                                        .replace("\"secondCopies\":false", "\"secondCopies\":true"),
+                                1024);
+                        Peer.Deaf unresponsive = new Peer.Deaf()) {
+                    Fixture.toldAndEnded(
+                            fixture.watch(),
+                            Fixture.list(
+                                    2,
+                                    true,
+                                    fixture.entry(0, "SERVING")
+                                            .replace("s-0", "s-9")
+                                            .replace(fixture.nodes.get(0).address(), unresponsive.address())));
+                    Peer client = fixture.client();
+                    Peer other = fixture.client();
+                    client.send(Fixture.read("a1", LONG_DEADLINE_MS));
+                    other.send(Fixture.read("b1", LONG_DEADLINE_MS));
+                    awaitRequests(fixture, 2);
+                    disconnect.apply(client);
+                    awaitRequests(fixture, mayCancel.equals("true") ? 1 : 2, 1);
+                    Peer node = unresponsive.hear();
+                    assertEquals("Ob1", Arrivals.command(node));
+                    node.send("VA 1 Ob1\r\n1\r\n");
+                    other.expect("VA 1 Ob1", "1");
+                    assertFalse(node.ready());
+                }
+            }
+        }
+    }
+
+    private static void awaitRequests(Fixture fixture, long requests) throws Exception {
+        awaitRequests(fixture, requests, 2);
+    }
+
+    private static void awaitRequests(Fixture fixture, long requests, int clients) throws Exception {
+        while (fixture.loop.submit(() -> fixture.proxy.reserved().get("requests") != requests || fixture.proxy.clients.count() != clients)
+                .get()) {
+            Thread.onSpinWait();
+        }
+    }
+
+    /**
+     * On a shared connection whose node does not read, partly written requests of disconnected clients must close the
+     * connection. Otherwise the channel would write the rest as soon as the node reads again.
+     */
+    @Test
+    void closesConnectionWithPartlyWrittenRequest() throws Exception {
+        try (Fixture fixture = new Fixture(
+                1,
+                s -> withLongDeadlines(s)
+                        .replace("\"multiplex\":1", "\"multiplex\":100")
+                        .replace("\"secondCopies\":false", "\"secondCopies\":true"),
+                1024)) {
+            Peer other = fixture.client();
+            other.send(Fixture.read("b1", LONG_DEADLINE_MS));
+            Peer node = fixture.nodes.get(0).next();
+            assertEquals("Ob1", Arrivals.command(node));
+            String value = "v".repeat(64 << 10);
+            List<Peer> clients = new ArrayList<>();
+            for (int i = 0; i < 90; i++) { // 5.9 MB: more than the kernel buffers for a peer that does not read
+                Peer client = fixture.client();
+                clients.add(client);
+                client.send("ms 7f3a9c21e0b4d655 " + value.length() + " Oc" + i + " Pc=charge,t=acme,d=" + LONG_DEADLINE_MS
+                        + ",k=5c0f\r\n" + value + "\r\n");
+                awaitRequests(fixture, i + 2, i + 2);
+            }
+            for (Peer client : clients) {
+                client.close();
+            }
+            while (fixture.loop.submit(() -> fixture.proxy.clients.count() != 1).get()) {
+                Thread.onSpinWait();
+            }
+            int completeRequests = 0;
+            for (String line = node.line(); line != null; line = node.line()) {
+                completeRequests += line.length() == value.length() ? 1 : 0;
+            }
+            assertTrue(completeRequests < 90, "the kernel buffered all requests: " + completeRequests);
+            assertTrue(node.rest() > 0, "all bytes were written");
+        }
+    }
+
+    /**
+     * The proxy closes a client connection in the middle of a read, as it does when its responses use too much memory.
+     * Requests later in that read must not be forwarded, not even if a connection to the node is idle.
+     */
+    @Test
+    void doesNotForwardRestOfReadAfterClose() throws Exception {
+        AtomicReference<Fixture> fixtureReference = new AtomicReference<>();
+        try (Fixture fixture =
+                new Fixture(1, ClientDisconnectTest::withLongDeadlines, 1024, Fixture::allServing, inner -> closingRouter(inner, fixtureReference))) {
+            fixtureReference.set(fixture);
+            Peer first = fixture.client();
+            first.send(Fixture.read("r1", LONG_DEADLINE_MS) + Fixture.read("r2", LONG_DEADLINE_MS));
+            List<Peer> nodes = List.of(fixture.nodes.get(0).next(), fixture.nodes.get(0).next());
+            for (Peer node : nodes) {
+                node.send("VA 1 " + Arrivals.command(node) + "\r\n1\r\n");
+            }
+            first.expect("VA 1 Or1", "1", "VA 1 Or2", "1"); // two connections to the node are idle
+            Peer client = fixture.client();
+            client.send(Fixture.read("a1", LONG_DEADLINE_MS).replace("d=", HeldRequest.SIZE + "d=")
+                    + Fixture.read("a2", LONG_DEADLINE_MS));
+            client.expectEnd();
+            Peer last = fixture.client();
+            last.send(Fixture.read("b1", LONG_DEADLINE_MS));
+            Arrivals arrivals = new Arrivals(fixture);
+            Peer connection = arrivals.nextOr(null, nodes.get(0));
+            List<String> receivedIds = new ArrayList<>();
+            for (String id = Arrivals.command(connection); !id.equals("Ob1"); id = Arrivals.command(connection)) {
+                receivedIds.add(id);
+                connection.expectEnd(); // the attempt was cancelled because its client disconnected
+                connection.close();
+                connection = arrivals.nextOr(null, nodes.get(1));
+            }
+            assertFalse(receivedIds.contains("Oa2"), receivedIds.toString());
+        }
+    }
+
+    /** A router that closes all client connections when it receives a request of {@link HeldRequest#SIZE}. */
+    private static RequestRouter closingRouter(RequestRouter inner, AtomicReference<Fixture> fixtureReference) {
+        return (RequestRouter) java.lang.reflect.Proxy.newProxyInstance(
+                ClientDisconnectTest.class.getClassLoader(),
+                new Class<?>[] {RequestRouter.class},
+                (self, method, args) -> {
+                    if (method.getName().equals("onRequest") && ((RoutingRequest) args[1]).sizeBytes == 7) {
+                        fixtureReference.get().proxy.clients.all().forEach(ClientSession::closeImmediately);
+                    }
+                    try {
+                        return method.invoke(inner, args);
+                    } catch (InvocationTargetException e) {
+                        throw e.getCause();
+                    }
+                });
+    }
+}
--- a/proxy/src/test/java/cacheproxy/server/GivenBackTest.java
+++ b/proxy/src/test/java/cacheproxy/server/GivenBackTest.java
@@ -5,60 +5,60 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** Danger: bytes that are counted and never given back: after a few hours every request is refused. */
+/** Tests that reserved bytes are released: if they leak, the proxy rejects every request after a few hours. */
 @Timeout(60)
 class GivenBackTest {
     private static final String VALUE = "v".repeat(64 << 10);
     private static final String LARGE = "0123456789".repeat(100_000);
 
-    private static String write(String id) {
+    private static String writeCommand(String id) {
         return "ms 7f3a9c21e0b4d655 " + VALUE.length() + " O" + id + " Pc=charge,t=acme,d=4000,k=5c0f\r\n" + VALUE
                 + "\r\n";
     }
 
-    private static Peer written(Peer client, Arrivals at, String id) throws Exception {
-        client.send(write(id));
-        Peer node = at.nextOr(client);
+    private static Peer forwardWrite(Peer client, Arrivals arrivals, String id) throws Exception {
+        client.send(writeCommand(id));
+        Peer node = arrivals.nextOr(client);
         assertEquals("O" + id, node == client ? client.line() : Arrivals.command(node));
         return node;
     }
 
-    /** 6 MB may be held at a time: what was answered is not held. */
+    /** The proxy holds at most 6 MB of request values at a time; those of answered requests must not count. */
     @Test
-    void theValuesOfRequestsThatWereAnswered() throws Exception {
-        try (Fixture f = new Fixture(1)) {
-            Arrivals at = new Arrivals(f);
-            Peer client = f.client();
+    void releasesValuesOfAnsweredRequests() throws Exception {
+        try (Fixture fixture = new Fixture(1)) {
+            Arrivals arrivals = new Arrivals(fixture);
+            Peer client = fixture.client();
             for (int i = 0; i < 120; i++) {
-                written(client, at, "c" + i).send("HD Oc" + i + " c7\r\n");
+                forwardWrite(client, arrivals, "c" + i).send("HD Oc" + i + " c7\r\n");
                 client.expect("HD Oc" + i + " c7");
             }
         }
     }
 
     @Test
-    void theValuesOfRequestsWhoseClientsLeft() throws Exception {
-        try (Fixture f = new Fixture(1)) {
-            Arrivals at = new Arrivals(f);
+    void releasesValuesWhenClientDisconnects() throws Exception {
+        try (Fixture fixture = new Fixture(1)) {
+            Arrivals arrivals = new Arrivals(fixture);
             for (int i = 0; i < 120; i++) {
-                Peer client = f.client();
-                Peer node = written(client, at, "c" + i);
+                Peer client = fixture.client();
+                Peer node = forwardWrite(client, arrivals, "c" + i);
                 client.close();
-                node.expectEnd(); // it is withdrawn
+                node.expectEnd(); // the attempt was cancelled
                 node.close();
             }
         }
     }
 
-    /** 12 MB of answers may wait for their clients: what these have taken does not. */
+    /** At most 12 MB of responses may wait for their clients; those that were read must not count. */
     @Test
-    void theAnswersThatWereTaken() throws Exception {
-        try (Fixture f = new Fixture(1)) {
-            Arrivals at = new Arrivals(f);
-            Peer client = f.client();
+    void releasesResponsesThatWereRead() throws Exception {
+        try (Fixture fixture = new Fixture(1)) {
+            Arrivals arrivals = new Arrivals(fixture);
+            Peer client = fixture.client();
             for (int i = 0; i < 15; i++) {
                 client.send(Fixture.read("a" + i, 4000));
-                Peer node = at.next();
+                Peer node = arrivals.next();
                 assertEquals("Oa" + i, Arrivals.command(node));
                 node.send("VA " + LARGE.length() + " Oa" + i + "\r\n" + LARGE + "\r\n");
                 client.expect("VA " + LARGE.length() + " Oa" + i, LARGE);
@@ -66,29 +66,29 @@
         }
     }
 
-    /** They waited behind an earlier request of the connection, which never was answered. */
+    /** The responses waited behind an earlier request of the same client, which was never answered. */
     @Test
-    void theAnswersThatWaitedForAClientThatLeft() throws Exception {
-        try (Fixture f = new Fixture(1)) {
-            Arrivals at = new Arrivals(f);
+    void releasesWaitingResponsesWhenClientDisconnects() throws Exception {
+        try (Fixture fixture = new Fixture(1)) {
+            Arrivals arrivals = new Arrivals(fixture);
             for (int i = 0; i < 15; i++) {
-                Peer client = f.client();
-                client.send(Fixture.write("charge", "c" + i, 4000));
-                Peer first = at.next();
+                Peer client = fixture.client();
+                client.send(Fixture.writeCommand("charge", "c" + i, 4000));
+                Peer first = arrivals.next();
                 assertEquals("Oc" + i, Arrivals.command(first));
                 client.send(Fixture.read("a" + i, 4000));
-                Peer second = at.next();
+                Peer second = arrivals.next();
                 assertEquals("Oa" + i, Arrivals.command(second));
                 second.send("VA " + LARGE.length() + " Oa" + i + "\r\n" + LARGE + "\r\nsurplus\r\n");
-                second.expectEnd(); // for what is behind it: so it was taken in
+                second.expectEnd(); // because of the surplus bytes, which shows that the response was read
                 second.close();
                 client.close();
                 first.expectEnd();
                 first.close();
             }
-            Peer client = f.client();
+            Peer client = fixture.client();
             client.send(Fixture.read("b", 4000));
-            Peer node = at.next();
+            Peer node = arrivals.next();
             assertEquals("Ob", Arrivals.command(node));
             node.send("VA 1 Ob\r\n1\r\n");
             client.expect("VA 1 Ob", "1");
--- a/proxy/src/test/java/cacheproxy/server/LateBusyTest.java
+++ b/proxy/src/test/java/cacheproxy/server/LateBusyTest.java
@@ -10,8 +10,8 @@
 import org.junit.jupiter.api.Timeout;
 
 /**
- * Error lines carry no id. Danger: a second one, late, is taken for the answer of the request that went out next on the
- * connection; told 'busy', that one is sent again or refused although it ran.
+ * Error lines have no id, so a late duplicate could be taken for the response to the next request on the connection. A
+ * duplicate 'busy' would then cause that request to be retried or rejected although it was executed.
  */
 @Timeout(60)
 class LateBusyTest {
@@ -22,8 +22,8 @@
     private static final String CHARGE = Fixture.write("charge", "?", 4000);
     private static final String SUBMIT = Fixture.write("submit", "?", 4000);
 
-    /** Where a request went, and under which id. */
-    private record Sent(Peer node, String id) {
+    /** A request that reached a node: the node's end of the connection and the request's id. */
+    private record ForwardedRequest(Peer node, String id) {
         void serve(Peer client) throws Exception {
             boolean read = id.startsWith("Oa");
             node.send(read ? "VA 1 " + id + "\r\n1\r\n" : "HD " + id + " c7\r\n");
@@ -31,12 +31,12 @@
         }
     }
 
-    /** Where no second copy may be, a second busy on a connection ends it: the first may be out beside it. */
-    private static Fixture copies(int nodes) throws Exception {
+    /** Allows hedged requests. Without them a second busy closes a connection: an earlier attempt may be in flight. */
+    private static Fixture hedgingFixture(int nodes) throws Exception {
         return new Fixture(nodes, s -> s.replace("\"secondCopies\":false", "\"secondCopies\":true"), 1024);
     }
 
-    private static Fixture shared(int nodes) throws Exception {
+    private static Fixture sharedConnectionFixture(int nodes) throws Exception {
         return new Fixture(
                 nodes,
                 s -> s.replace("\"multiplex\":1", "\"multiplex\":4")
@@ -44,183 +44,183 @@
                 1024);
     }
 
-    /** A proxy in use, so that one failure weighs little; each key is asked for once, so that none is hot. */
-    private static void used(Peer client, Arrivals at) throws Exception {
+    /** Serves requests first, so that one failure has little weight; each key occurs once, so that none is hot. */
+    private static void serveRequests(Peer client, Arrivals arrivals) throws Exception {
         for (int i = 0; i < 30; i++) {
             client.send(LOOKUP.replace("?", "a-" + i).replace(KEY, "a" + i));
-            Peer node = at.next();
-            new Sent(node, Arrivals.command(node)).serve(client);
+            Peer node = arrivals.next();
+            new ForwardedRequest(node, Arrivals.command(node)).serve(client);
         }
     }
 
-    /** Asks until it comes to a node: after a failure the proxy may refuse some requests at once. */
-    private static Sent sent(Peer client, Arrivals at, String id, String command) throws Exception {
+    /** Sends requests until one reaches a node: after a failure the proxy may reject some immediately. */
+    private static ForwardedRequest sendUntilForwarded(Peer client, Arrivals arrivals, String id, String command) throws Exception {
         for (int i = 0; i < 50; i++) {
             client.send(command.replace("?", id + "-" + i));
-            Peer p = at.nextOr(client);
-            if (p != client) {
-                assertEquals("O" + id + "-" + i, Arrivals.command(p));
-                return new Sent(p, "O" + id + "-" + i);
+            Peer readyPeer = arrivals.nextOr(client);
+            if (readyPeer != client) {
+                assertEquals("O" + id + "-" + i, Arrivals.command(readyPeer));
+                return new ForwardedRequest(readyPeer, "O" + id + "-" + i);
             }
             assertTrue(client.line().startsWith("SERVER_ERROR busy"));
         }
-        throw new AssertionError("refused each time");
+        throw new AssertionError("rejected each time");
     }
 
-    /** A lookup that its only node answers with an error line; returns its connection, which then rests. */
-    private static Peer troubled(Peer client, Arrivals at, String id, String line) throws Exception {
-        Peer node = sent(client, at, id, LOOKUP).node();
+    /** Sends a lookup that the only node answers with an error line; returns its connection, which is idle then. */
+    private static Peer failLookup(Peer client, Arrivals arrivals, String id, String line) throws Exception {
+        Peer node = sendUntilForwarded(client, arrivals, id, LOOKUP).node();
         node.send(line);
         assertTrue(client.line().startsWith("SERVER_ERROR busy"));
         return node;
     }
 
     @Test
-    void aLateSecondBusyDoesNotBringTheNextChargeToAnotherNode() throws Exception {
-        try (Fixture f = new Fixture(2)) {
-            Arrivals at = new Arrivals(f);
-            Peer client = f.client();
-            used(client, at);
-            Sent lookup = sent(client, at, "a", LOOKUP);
+    void lateDuplicateBusyDoesNotRetryNextCharge() throws Exception {
+        try (Fixture fixture = new Fixture(2)) {
+            Arrivals arrivals = new Arrivals(fixture);
+            Peer client = fixture.client();
+            serveRequests(client, arrivals);
+            ForwardedRequest lookup = sendUntilForwarded(client, arrivals, "a", LOOKUP);
             lookup.node().send(BUSY);
-            Peer other = at.next();
-            assertEquals(lookup.id(), Arrivals.command(other));
-            new Sent(other, lookup.id()).serve(client);
-            Sent charge = sent(client, at, "c", CHARGE);
+            Peer otherConnection = arrivals.next();
+            assertEquals(lookup.id(), Arrivals.command(otherConnection));
+            new ForwardedRequest(otherConnection, lookup.id()).serve(client);
+            ForwardedRequest charge = sendUntilForwarded(client, arrivals, "c", CHARGE);
             lookup.node().send(BUSY);
             charge.node().send("HD " + charge.id() + " c7\r\n");
-            assertSame(client, at.nextOr(client), "whole at a second node");
+            assertSame(client, arrivals.nextOr(client), "sent to a second node");
             client.expect("HD " + charge.id() + " c7");
         }
     }
 
     @Test
-    void aLateSecondBusyDoesNotRefuseTheNextCharge() throws Exception {
-        try (Fixture f = new Fixture(1)) {
-            Arrivals at = new Arrivals(f);
-            Peer client = f.client();
-            used(client, at);
-            Peer told = troubled(client, at, "a", BUSY);
-            Sent charge = sent(client, at, "c", CHARGE);
-            told.send(BUSY);
+    void lateDuplicateBusyDoesNotRejectNextCharge() throws Exception {
+        try (Fixture fixture = new Fixture(1)) {
+            Arrivals arrivals = new Arrivals(fixture);
+            Peer client = fixture.client();
+            serveRequests(client, arrivals);
+            Peer errorConnection = failLookup(client, arrivals, "a", BUSY);
+            ForwardedRequest charge = sendUntilForwarded(client, arrivals, "c", CHARGE);
+            errorConnection.send(BUSY);
             charge.serve(client);
         }
     }
 
-    /** Any line without an id may come twice; a second 'failed' would fail what was served. */
+    /** Any line without an id may be duplicated; a duplicate 'failed' would fail a request that was served. */
     @Test
-    void aLateSecondFailedDoesNotFailTheNextCharge() throws Exception {
-        try (Fixture f = new Fixture(1)) {
-            Arrivals at = new Arrivals(f);
-            Peer client = f.client();
-            used(client, at);
-            Peer told = troubled(client, at, "a", FAILED);
-            Sent charge = sent(client, at, "c", CHARGE);
-            told.send(FAILED);
+    void lateDuplicateFailedDoesNotFailNextCharge() throws Exception {
+        try (Fixture fixture = new Fixture(1)) {
+            Arrivals arrivals = new Arrivals(fixture);
+            Peer client = fixture.client();
+            serveRequests(client, arrivals);
+            Peer errorConnection = failLookup(client, arrivals, "a", FAILED);
+            ForwardedRequest charge = sendUntilForwarded(client, arrivals, "c", CHARGE);
+            errorConnection.send(FAILED);
             charge.serve(client);
         }
     }
 
-    /** A keyed one told 'busy' falsely would be sent beyond the group that drops its repeats. */
+    /** A keyed write that is wrongly reported as busy would be retried outside its deduplication scope. */
     @Test
-    void afterALineWithoutAnIdNeitherChargesNorKeyedWritesUseTheConnection() throws Exception {
+    void writesAvoidConnectionAfterErrorLine() throws Exception {
         for (String line : new String[] {BUSY, FAILED}) {
             for (String command : new String[] {CHARGE, SUBMIT}) {
-                try (Fixture f = new Fixture(1)) {
-                    Arrivals at = new Arrivals(f);
-                    Peer client = f.client();
-                    used(client, at);
-                    Peer told = troubled(client, at, "a", line);
-                    Sent write = sent(client, at, "c", command);
-                    assertNotSame(told, write.node(), line.strip() + ", then " + command.split("\r")[0]);
+                try (Fixture fixture = new Fixture(1)) {
+                    Arrivals arrivals = new Arrivals(fixture);
+                    Peer client = fixture.client();
+                    serveRequests(client, arrivals);
+                    Peer errorConnection = failLookup(client, arrivals, "a", line);
+                    ForwardedRequest write = sendUntilForwarded(client, arrivals, "c", command);
+                    assertNotSame(errorConnection, write.node(), line.strip() + ", then " + command.split("\r")[0]);
                     write.serve(client);
-                    assertEquals(2, f.nodes.get(0).count());
+                    assertEquals(2, fixture.nodes.get(0).count());
                 }
             }
         }
     }
 
-    /** Danger: a full node answers busy all the time, and each new connection to it costs it a handshake. */
+    /** An overloaded node answers busy all the time, and each new connection would cost it a handshake. */
     @Test
-    void lookupsGoOnUsingAConnectionThatHasToldBusy() throws Exception {
-        try (Fixture f = copies(1)) {
-            Arrivals at = new Arrivals(f);
-            Peer client = f.client();
-            used(client, at);
+    void lookupsReuseConnectionAfterBusy() throws Exception {
+        try (Fixture fixture = hedgingFixture(1)) {
+            Arrivals arrivals = new Arrivals(fixture);
+            Peer client = fixture.client();
+            serveRequests(client, arrivals);
             for (int i = 0; i < 10; i++) {
-                troubled(client, at, "ab" + i, BUSY);
-                sent(client, at, "a" + i, LOOKUP).serve(client);
+                failLookup(client, arrivals, "ab" + i, BUSY);
+                sendUntilForwarded(client, arrivals, "a" + i, LOOKUP).serve(client);
             }
-            assertEquals(1, f.nodes.get(0).count());
+            assertEquals(1, fixture.nodes.get(0).count());
         }
     }
 
-    /** Danger: lookups that take the clean connection first would spoil it, and each charge need a new one. */
+    /** If lookups used unrestricted connections first, they would restrict them, and each charge would open a new one. */
     @Test
-    void chargesAmongManyBusyLookupsDoNotEachOpenAConnection() throws Exception {
-        try (Fixture f = copies(1)) {
-            Arrivals at = new Arrivals(f);
-            Peer client = f.client();
-            used(client, at);
+    void chargesReuseConnectionsAmongBusyLookups() throws Exception {
+        try (Fixture fixture = hedgingFixture(1)) {
+            Arrivals arrivals = new Arrivals(fixture);
+            Peer client = fixture.client();
+            serveRequests(client, arrivals);
             for (int i = 0; i < 10; i++) {
-                troubled(client, at, "a" + i, BUSY);
-                sent(client, at, "c" + i, CHARGE).serve(client);
+                failLookup(client, arrivals, "a" + i, BUSY);
+                sendUntilForwarded(client, arrivals, "c" + i, CHARGE).serve(client);
             }
-            int count = f.nodes.get(0).count();
-            assertTrue(count <= 3, count + " connections for 10 lookups told busy and 10 charges");
+            int count = fixture.nodes.get(0).count();
+            assertTrue(count <= 3, count + " connections for 10 lookups rejected as busy and 10 charges");
         }
     }
 
     @Test
-    void aBusyOnAConnectionWithoutEarlierErrorLinesStillProvesThatTheChargeNeverRan() throws Exception {
-        try (Fixture f = new Fixture(2)) {
-            Arrivals at = new Arrivals(f);
-            Peer client = f.client();
-            used(client, at);
-            Sent charge = sent(client, at, "c", CHARGE);
-            assertEquals(1, f.nodes.get(at.node(charge.node())).count(), "a connection that was used before");
+    void retriesChargeAfterUnambiguousBusy() throws Exception {
+        try (Fixture fixture = new Fixture(2)) {
+            Arrivals arrivals = new Arrivals(fixture);
+            Peer client = fixture.client();
+            serveRequests(client, arrivals);
+            ForwardedRequest charge = sendUntilForwarded(client, arrivals, "c", CHARGE);
+            assertEquals(1, fixture.nodes.get(arrivals.node(charge.node())).count(), "expected a reused connection");
             charge.node().send(BUSY);
-            Peer second = at.next();
+            Peer second = arrivals.next();
             assertNotSame(charge.node(), second);
             assertEquals(charge.id(), Arrivals.command(second));
-            new Sent(second, charge.id()).serve(client);
+            new ForwardedRequest(second, charge.id()).serve(client);
         }
     }
 
-    /** The lookup in front was told busy twice: the second line is of the charge behind it, or a repeat. */
+    /** Two busy lines arrive for the lookup in front: the second is for the charge behind it, or a duplicate. */
     @Test
-    void onASharedConnectionABusyThatMayBeAnothersDoesNotBringTheChargeToAnotherNode() throws Exception {
-        try (Fixture f = shared(2)) {
-            Arrivals at = new Arrivals(f);
-            Peer reader = f.client();
-            Peer other = f.client();
-            Peer writer = f.client();
-            used(reader, at);
-            Sent front = sent(reader, at, "a", LOOKUP);
-            Sent elsewhere = sent(other, at, "ab", LOOKUP); // evens out what is in flight
-            Sent charge = sent(writer, at, "c", CHARGE);
+    void ambiguousBusyOnSharedConnectionDoesNotRetryCharge() throws Exception {
+        try (Fixture fixture = sharedConnectionFixture(2)) {
+            Arrivals arrivals = new Arrivals(fixture);
+            Peer reader = fixture.client();
+            Peer otherClient = fixture.client();
+            Peer writer = fixture.client();
+            serveRequests(reader, arrivals);
+            ForwardedRequest front = sendUntilForwarded(reader, arrivals, "a", LOOKUP);
+            ForwardedRequest elsewhere = sendUntilForwarded(otherClient, arrivals, "ab", LOOKUP); // balances the requests in flight
+            ForwardedRequest charge = sendUntilForwarded(writer, arrivals, "c", CHARGE);
             assertNotSame(front.node(), elsewhere.node());
-            assertSame(front.node(), charge.node(), "on one connection, the charge second");
+            assertSame(front.node(), charge.node(), "lookup and charge share a connection");
             front.node().send(BUSY + BUSY);
-            assertSame(elsewhere.node(), at.next(), "the lookup goes on to the other node");
+            assertSame(elsewhere.node(), arrivals.next(), "the lookup is retried on the other node");
             assertEquals(front.id(), Arrivals.command(elsewhere.node()));
-            assertSame(writer, at.nextOr(writer), "whole at a second node");
+            assertSame(writer, arrivals.nextOr(writer), "sent to a second node");
             writer.expect("SERVER_ERROR failed");
-            elsewhere.serve(other);
-            new Sent(elsewhere.node(), front.id()).serve(reader);
+            elsewhere.serve(otherClient);
+            new ForwardedRequest(elsewhere.node(), front.id()).serve(reader);
             assertFalse(elsewhere.node().ready());
         }
     }
 
     @Test
-    void onASharedConnectionABusyThatMayBeAnothersDoesNotRefuseTheCharge() throws Exception {
-        try (Fixture f = shared(1)) {
-            Arrivals at = new Arrivals(f);
-            Peer reader = f.client();
-            Peer writer = f.client();
-            used(reader, at);
-            Sent front = sent(reader, at, "a", LOOKUP);
-            Sent charge = sent(writer, at, "c", CHARGE);
+    void ambiguousBusyOnSharedConnectionDoesNotRejectCharge() throws Exception {
+        try (Fixture fixture = sharedConnectionFixture(1)) {
+            Arrivals arrivals = new Arrivals(fixture);
+            Peer reader = fixture.client();
+            Peer writer = fixture.client();
+            serveRequests(reader, arrivals);
+            ForwardedRequest front = sendUntilForwarded(reader, arrivals, "a", LOOKUP);
+            ForwardedRequest charge = sendUntilForwarded(writer, arrivals, "c", CHARGE);
             assertSame(front.node(), charge.node());
             front.node().send(BUSY + BUSY);
             assertTrue(reader.line().startsWith("SERVER_ERROR busy"));
@@ -228,19 +228,19 @@
         }
     }
 
-    /** After that a new connection is clean, and the shared one with its line is not used by charges. */
+    /** A charge must open a new connection, and not share one on which an error line was received. */
     @Test
-    void onSharedConnectionsTooChargesKeepOffOneThatHasToldBusy() throws Exception {
-        try (Fixture f = shared(1)) {
-            Arrivals at = new Arrivals(f);
-            Peer client = f.client();
-            used(client, at);
-            Peer told = troubled(client, at, "a", BUSY);
-            Sent reading = sent(client, at, "ab", LOOKUP);
-            assertSame(told, reading.node(), "lookups use it on");
-            Peer writer = f.client();
-            Sent charge = sent(writer, at, "c", CHARGE);
-            assertNotSame(told, charge.node());
+    void chargesDoNotShareConnectionAfterBusy() throws Exception {
+        try (Fixture fixture = sharedConnectionFixture(1)) {
+            Arrivals arrivals = new Arrivals(fixture);
+            Peer client = fixture.client();
+            serveRequests(client, arrivals);
+            Peer errorConnection = failLookup(client, arrivals, "a", BUSY);
+            ForwardedRequest reading = sendUntilForwarded(client, arrivals, "ab", LOOKUP);
+            assertSame(errorConnection, reading.node(), "lookups keep using the connection");
+            Peer writer = fixture.client();
+            ForwardedRequest charge = sendUntilForwarded(writer, arrivals, "c", CHARGE);
+            assertNotSame(errorConnection, charge.node());
             charge.serve(writer);
             reading.serve(client);
         }
--- a/proxy/src/test/java/cacheproxy/server/Peer.java
+++ b/proxy/src/test/java/cacheproxy/server/Peer.java
@@ -18,7 +18,7 @@
 import java.util.concurrent.LinkedBlockingQueue;
 import java.util.concurrent.TimeUnit;
 
-/** The other end of a connection, under a test's control, and a listener that makes such ends. */
+/** The remote end of a proxy connection, controlled by a test, and a listener that accepts such connections. */
 final class Peer implements Closeable {
     private static final int WAIT_MS = 10_000;
 
@@ -42,17 +42,17 @@
         socket.getOutputStream().flush();
     }
 
-    /** Whether something has come that was not read yet. */
+    /** Whether received bytes are waiting to be read. */
     boolean ready() throws IOException {
         return in.available() > 0;
     }
 
-    /** How many bytes stood behind the last whole line when the stream ended. */
+    /** How many bytes followed the last complete line at the end of the stream. */
     int rest() {
         return rest;
     }
 
-    /** The next line without its end; null at the end of the stream. */
+    /** Reads the next line, without its line end; null at the end of the stream. */
     String line() throws IOException {
         ByteArrayOutputStream line = new ByteArrayOutputStream();
         for (int b = in.read(); b != '\n'; b = in.read()) {
@@ -72,7 +72,7 @@
         }
     }
 
-    /** Waits for the end of what the other side sends; fails on anything before it. */
+    /** Waits for the proxy to close the connection; fails if anything else is received first. */
     void expectEnd() throws IOException {
         try {
             assertEquals(null, line());
@@ -81,7 +81,7 @@
         }
     }
 
-    /** Ends the connection with a reset. */
+    /** Closes the connection with a TCP reset. */
     void reset() throws IOException {
         socket.setSoLinger(true, 0);
         socket.close();
@@ -92,7 +92,7 @@
         socket.close();
     }
 
-    /** A listening socket whose connections wait for the test to take them. */
+    /** A listening socket that accepts connections and queues them for the test. */
     static final class Listener implements Closeable {
         private final ServerSocket server;
         private final Thread thread;
@@ -103,13 +103,13 @@
             this(0);
         }
 
-        /** {@code takes}: about so many bytes the kernel takes for an end that does not read; 0 for its own bound. */
-        Listener(int takes) throws IOException {
+        /** {@code takes}: approximate receive buffer of the kernel in bytes; 0 for the kernel's default. */
+        Listener(int receiveBufferBytes) throws IOException {
             server = new ServerSocket();
-            if (takes > 0) {
-                server.setReceiveBufferSize(takes);
+            if (receiveBufferBytes > 0) {
+                server.setReceiveBufferSize(receiveBufferBytes);
             }
-            // room for all that a test brings at once: a dial that the kernel drops comes up a second late
+            // backlog for all connects of a test at once: one that the kernel drops is retried a second later
             server.bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0), 1024);
             thread = new Thread(this::accept, "listener");
             thread.setDaemon(true);
@@ -119,9 +119,9 @@
         private void accept() {
             try {
                 while (true) {
-                    Peer p = new Peer(server.accept());
-                    accepted.add(p);
-                    all.add(p); // counted once it can be taken
+                    Peer connection = new Peer(server.accept());
+                    accepted.add(connection);
+                    all.add(connection); // counted only once it can be taken
                 }
             } catch (IOException e) {
                 // closed by the test
@@ -133,14 +133,14 @@
         }
 
         Peer next() throws InterruptedException {
-            Peer p = accepted.poll(WAIT_MS, TimeUnit.MILLISECONDS);
-            if (p == null) {
-                throw new AssertionError("no connection came");
+            Peer connection = accepted.poll(WAIT_MS, TimeUnit.MILLISECONDS);
+            if (connection == null) {
+                throw new AssertionError("no connection was accepted");
             }
-            return p;
+            return connection;
         }
 
-        /** A connection that has come, or null. */
+        /** An accepted connection, or null. */
         Peer poll() {
             return accepted.poll();
         }
@@ -158,41 +158,41 @@
         public void close() throws IOException {
             server.close();
             try {
-                thread.join(); // until then it may still take a connection, and hold it in silence
+                thread.join(); // until then the thread may still accept a connection and leave it open
             } catch (InterruptedException e) {
                 Thread.currentThread().interrupt();
             }
-            for (Peer p : all) {
-                p.close();
+            for (Peer connection : all) {
+                connection.close();
             }
         }
     }
 
-    /** A listening socket whose queue is full: a further connection to it never comes up. */
+    /** A listening socket whose backlog is full, so that further connects to it don't complete. */
     static final class Deaf implements Closeable {
         private final ServerSocket server = new ServerSocket(0, 1, InetAddress.getLoopbackAddress());
         private final List<Socket> queued = new CopyOnWriteArrayList<>();
 
         Deaf() throws IOException {
             for (int i = 0; i < 16; i++) {
-                Socket s = new Socket();
-                queued.add(s);
+                Socket pending = new Socket();
+                queued.add(pending);
                 try {
-                    s.connect(server.getLocalSocketAddress(), 300);
+                    pending.connect(server.getLocalSocketAddress(), 300);
                 } catch (java.net.SocketTimeoutException e) {
                     return;
                 }
             }
-            throw new AssertionError("the queue does not fill");
+            throw new AssertionError("the backlog does not fill");
         }
 
-        /** Makes room, and takes the first connection that is not of those which filled the queue. */
+        /** Accepts connections until one is not of those that filled the backlog, and returns that one. */
         Peer hear() throws IOException {
             server.setSoTimeout(WAIT_MS);
             while (true) {
-                Socket s = server.accept();
-                if (queued.stream().noneMatch(q -> q.getLocalPort() == s.getPort())) {
-                    return new Peer(s);
+                Socket pending = server.accept();
+                if (queued.stream().noneMatch(q -> q.getLocalPort() == pending.getPort())) {
+                    return new Peer(pending);
                 }
             }
         }
@@ -203,8 +203,8 @@
 
         @Override
         public void close() throws IOException {
-            for (Socket s : queued) {
-                s.close();
+            for (Socket pending : queued) {
+                pending.close();
             }
             server.close();
         }
--- a/proxy/src/test/java/cacheproxy/server/PlainMemcachedTest.java
+++ b/proxy/src/test/java/cacheproxy/server/PlainMemcachedTest.java
@@ -7,133 +7,133 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** Plain memcached in place of a cache node that reads through: a miss is {@code EN}, and no fault of the node. */
+/** Tests with plain memcached nodes, which don't fetch from the origin: a miss is {@code EN} and not a failure. */
 @Timeout(60)
 class PlainMemcachedTest {
     private static final String KEY = "7f3a9c21e0b4d655";
 
-    /** Asks for a key of its own; returns the connection on which the node was asked. */
-    private static Peer asked(Peer client, Arrivals at, String id) throws Exception {
+    /** Sends a read for a unique key; returns the node's end of the connection on which the read arrived. */
+    private static Peer forwardRead(Peer client, Arrivals arrivals, String id) throws Exception {
         client.send(Fixture.read(id, 4000).replace(KEY, id));
-        Peer node = at.nextOr(client);
-        assertNotSame(client, node, () -> "answered before the node was asked");
+        Peer node = arrivals.nextOr(client);
+        assertNotSame(client, node, () -> "answered before the node received the read");
         assertEquals("O" + id, Arrivals.command(node));
         return node;
     }
 
-    private static void missed(Peer client, Arrivals at, String id) throws Exception {
-        asked(client, at, id).send("EN\r\n");
+    private static void serveMiss(Peer client, Arrivals arrivals, String id) throws Exception {
+        forwardRead(client, arrivals, id).send("EN\r\n");
         client.expect("EN");
     }
 
-    private static void hit(Peer client, Arrivals at, String id) throws Exception {
-        asked(client, at, id).send("VA 5 O" + id + "\r\nhello\r\n");
+    private static void serveHit(Peer client, Arrivals arrivals, String id) throws Exception {
+        forwardRead(client, arrivals, id).send("VA 5 O" + id + "\r\nhello\r\n");
         client.expect("VA 5 O" + id, "hello");
     }
 
-    /** Danger: told as broken connections, 43 misses had 8 of the next 20 hits refused. */
+    /** When misses were reported as connection failures, 43 of them caused 8 of the next 20 hits to be rejected. */
     @Test
-    void aMissIsTheClientsAnswerAndNeitherTheConnectionNorTheNodeIsBlamed() throws Exception {
-        try (Fixture f = new Fixture(1)) {
-            Arrivals at = new Arrivals(f);
-            Peer client = f.client();
+    void forwardsMissAndKeepsConnection() throws Exception {
+        try (Fixture fixture = new Fixture(1)) {
+            Arrivals arrivals = new Arrivals(fixture);
+            Peer client = fixture.client();
             for (int i = 0; i < 43; i++) {
-                missed(client, at, "a" + i);
+                serveMiss(client, arrivals, "a" + i);
             }
             for (int i = 0; i < 20; i++) {
-                hit(client, at, "b" + i);
+                serveHit(client, arrivals, "b" + i);
             }
-            assertEquals(1, f.nodes.get(0).count(), "each miss cost a connection");
+            assertEquals(1, fixture.nodes.get(0).count(), "misses closed connections");
         }
     }
 
     @Test
-    void aMissIsNotAskedForAtAnotherNode() throws Exception {
-        try (Fixture f = new Fixture(2)) {
-            Arrivals at = new Arrivals(f);
-            Peer client = f.client();
-            Peer node = asked(client, at, "a1");
+    void doesNotRetryMissOnAnotherNode() throws Exception {
+        try (Fixture fixture = new Fixture(2)) {
+            Arrivals arrivals = new Arrivals(fixture);
+            Peer client = fixture.client();
+            Peer node = forwardRead(client, arrivals, "a1");
             node.send("EN\r\n");
-            assertEquals(client, at.nextOr(client), "asked for again");
+            assertEquals(client, arrivals.nextOr(client), "retried");
             client.expect("EN");
         }
     }
 
-    /** Danger: EN bears no id, and a second one, late, would be the answer of whatever went out next. */
+    /** EN has no id, so a late duplicate could be taken for the response to the next request on the connection. */
     @Test
-    void afterAMissAChargeGoesOutOnAnotherConnection() throws Exception {
-        try (Fixture f = new Fixture(1)) {
-            Arrivals at = new Arrivals(f);
-            Peer client = f.client();
-            Peer told = asked(client, at, "a1");
-            told.send("EN\r\n");
+    void sendsChargeOnAnotherConnectionAfterMiss() throws Exception {
+        try (Fixture fixture = new Fixture(1)) {
+            Arrivals arrivals = new Arrivals(fixture);
+            Peer client = fixture.client();
+            Peer missConnection = forwardRead(client, arrivals, "a1");
+            missConnection.send("EN\r\n");
             client.expect("EN");
             client.send(Fixture.write("charge", "c1", 4000));
-            Peer node = at.next();
+            Peer node = arrivals.next();
             assertEquals("Oc1", Arrivals.command(node));
-            told.send("EN\r\n");
+            missConnection.send("EN\r\n");
             node.send("HD Oc1 c7\r\n");
             client.expect("HD Oc1 c7");
         }
     }
 
-    /** Danger: it is no answer to a write: that may have run, and is neither sent again nor refused. */
+    /** EN is not a response to a write, which was possibly executed and must be neither retried nor rejected. */
     @Test
-    void aWriteAnsweredSoHasFailed() throws Exception {
-        try (Fixture f = new Fixture(2)) {
-            Arrivals at = new Arrivals(f);
-            Peer client = f.client();
+    void failsWriteAnsweredWithMiss() throws Exception {
+        try (Fixture fixture = new Fixture(2)) {
+            Arrivals arrivals = new Arrivals(fixture);
+            Peer client = fixture.client();
             client.send(Fixture.write("charge", "c1", 4000));
-            Peer node = at.next();
+            Peer node = arrivals.next();
             assertEquals("Oc1", Arrivals.command(node));
             node.send("EN\r\n");
-            assertEquals(client, at.nextOr(client), "sent again");
+            assertEquals(client, arrivals.nextOr(client), "retried on another node");
             client.expect("SERVER_ERROR failed");
             node.expectEnd();
         }
     }
 
-    /** Danger: a hit without its value, as where {@code v} is not understood, is no value of any length. */
+    /** A hit without a value, from a node that doesn't support {@code v}, must not be served as a value. */
     @Test
-    void aPlainHeadIsNoAnswerToARead() throws Exception {
-        try (Fixture f = new Fixture(1)) {
-            Arrivals at = new Arrivals(f);
-            Peer client = f.client();
-            Peer node = asked(client, at, "a1");
+    void rejectsReadAnsweredWithoutValue() throws Exception {
+        try (Fixture fixture = new Fixture(1)) {
+            Arrivals arrivals = new Arrivals(fixture);
+            Peer client = fixture.client();
+            Peer node = forwardRead(client, arrivals, "a1");
             node.send("HD\r\n");
             assertTrue(client.line().startsWith("SERVER_ERROR "));
             node.expectEnd();
         }
     }
 
-    /** Danger: a node that knows no such command fails all that it is sent, and is used on. */
+    /** A node that doesn't support the command would otherwise fail all requests while it stays in use. */
     @Test
-    void aReadThatANodeDoesNotKnowIsReadElsewhere() throws Exception {
-        try (Fixture f = new Fixture(2)) {
-            Arrivals at = new Arrivals(f);
-            Peer client = f.client();
-            Peer node = asked(client, at, "a1");
+    void retriesReadThatNodeDoesNotSupport() throws Exception {
+        try (Fixture fixture = new Fixture(2)) {
+            Arrivals arrivals = new Arrivals(fixture);
+            Peer client = fixture.client();
+            Peer node = forwardRead(client, arrivals, "a1");
             node.send("ERROR\r\n");
-            Peer other = at.next();
+            Peer other = arrivals.next();
             assertNotSame(node, other);
             assertEquals("Oa1", Arrivals.command(other));
             other.send("VA 1 Oa1\r\n1\r\n");
             client.expect("VA 1 Oa1", "1");
-            node.expectEnd(); // it may have read only a part of the command
+            node.expectEnd(); // the node may have read only a part of the command
         }
     }
 
-    /** A write: whether it ran is not known, so it is neither sent again nor refused. */
+    /** It is not known whether the write was executed, so it is neither retried nor rejected. */
     @Test
-    void aWriteThatANodeDoesNotKnowHasFailed() throws Exception {
-        try (Fixture f = new Fixture(2)) {
-            Arrivals at = new Arrivals(f);
-            Peer client = f.client();
+    void failsWriteThatNodeDoesNotSupport() throws Exception {
+        try (Fixture fixture = new Fixture(2)) {
+            Arrivals arrivals = new Arrivals(fixture);
+            Peer client = fixture.client();
             client.send(Fixture.write("charge", "c1", 4000));
-            Peer node = at.next();
+            Peer node = arrivals.next();
             assertEquals("Oc1", Arrivals.command(node));
             node.send("ERROR\r\n");
-            assertEquals(client, at.nextOr(client), "tried at another node");
+            assertEquals(client, arrivals.nextOr(client), "retried on another node");
             client.expect("SERVER_ERROR failed");
         }
     }
--- a/proxy/src/test/java/cacheproxy/server/ServingNode.java
+++ b/proxy/src/test/java/cacheproxy/server/ServingNode.java
@@ -4,7 +4,7 @@
 import java.io.IOException;
 import java.util.concurrent.atomic.AtomicInteger;
 
-/** A cache node on a real socket that serves every read at once and counts them. */
+/** A stand-in cache node on a real socket that serves every read immediately and counts the reads. */
 final class ServingNode implements Closeable {
     final Peer.Listener listener = new Peer.Listener();
     private final AtomicInteger served = new AtomicInteger();
@@ -15,7 +15,7 @@
         acceptor.start();
     }
 
-    /** How many reads have come. */
+    /** The number of reads received. */
     int served() {
         return served.get();
     }
@@ -42,7 +42,7 @@
                 connection.send("VA 1 " + id + "\r\n1\r\n");
             }
         } catch (IOException e) {
-            // ended by the proxy or by the test
+            // closed by the proxy or by the test
         }
     }
 
