--- a/proxy/src/main/java/cacheproxy/upstream/CloseReason.java
+++ b/proxy/src/main/java/cacheproxy/upstream/CloseReason.java
@@ -8,7 +8,7 @@
     EVICTED("evicted to make room for another connection"),
     CONNECTED_TOO_LATE("connected too late to be used"),
     CONNECT_TIMEOUT("connect timeout"),
-    ATTEMPT_GIVEN_UP("its attempt timed out or was cancelled"),
+    ATTEMPT_ABANDONED("its attempt timed out or was cancelled"),
     UNEXPECTED_BYTES("received bytes that belong to no request"),
     PROTOCOL_ERROR("protocol error in a response"),
     AMBIGUOUS_RESPONSE("received a response without an id that may belong to another request"),
--- a/proxy/src/main/java/cacheproxy/upstream/EndpointConnection.java
+++ b/proxy/src/main/java/cacheproxy/upstream/EndpointConnection.java
@@ -256,7 +256,7 @@
         if (!attempt.handedToChannel) {
             attempts.remove(attempt);
             if (attempts.isEmpty() && !connected) {
-                close(CloseReason.ATTEMPT_GIVEN_UP);
+                close(CloseReason.ATTEMPT_ABANDONED);
             }
             return false;
         }
@@ -265,7 +265,7 @@
             return true;
         }
         boolean written = attempt.written;
-        close(CloseReason.ATTEMPT_GIVEN_UP);
+        close(CloseReason.ATTEMPT_ABANDONED);
         return written;
     }
 
--- a/proxy/src/test/java/cacheproxy/server/GivenBackTest.java
+++ b/proxy/src/test/java/cacheproxy/server/GivenBackTest.java
@@ -73,7 +73,7 @@
             Arrivals arrivals = new Arrivals(fixture);
             for (int i = 0; i < 15; i++) {
                 Peer client = fixture.client();
-                client.send(Fixture.writeCommand("charge", "c" + i, 4000));
+                client.send(Fixture.write("charge", "c" + i, 4000));
                 Peer first = arrivals.next();
                 assertEquals("Oc" + i, Arrivals.command(first));
                 client.send(Fixture.read("a" + i, 4000));
--- a/proxy/src/test/java/cacheproxy/server/GracefulShutdownRaceTest.java
+++ b/proxy/src/test/java/cacheproxy/server/GracefulShutdownRaceTest.java
@@ -160,7 +160,8 @@
                 for (int i = 0; i < 40; i++) {
                     Peer client = fixture.client();
                     clients.add(client);
-                    for (int request = 0; request < 2 && !newClients; request++) { // clients with several requests are evicted last
+                    // clients with several requests are evicted last
+                    for (int request = 0; request < 2 && !newClients; request++) {
                         client.send("mn\r\n");
                         client.expect("MN");
                     }
@@ -189,46 +190,49 @@
     void doesNotCloseSilentConnectionWithUnreadFirstRequest() throws Exception {
         HeldRequest heldRequest = new HeldRequest();
         try (Fixture fixture = new Fixture(1, s -> s, 1024, Fixture::allServing, heldRequest::wrap)) {
-            Peer silent = fixture.client();
+            Peer silentClient = fixture.client();
             while (fixture.loop.submit(() -> fixture.proxy.clients.count() != 1).get()) {
                 Thread.onSpinWait();
             }
             long openedNanos = System.nanoTime();
-            fixture.client().send(Fixture.read("b1", 0).replace("d=", HeldRequest.SIZE + "d=")); // not forwarded: its wait is 0
+            // not forwarded: its wait is 0
+            fixture.client().send(Fixture.read("b1", 0).replace("d=", HeldRequest.SIZE + "d="));
             heldRequest.await();
-            silent.send(Fixture.read("a1", 4000));
+            silentClient.send(Fixture.read("a1", 4000));
             while (System.nanoTime() - openedNanos < 2_300_000_000L) {
                 Thread.onSpinWait(); // until the timeout has passed
             }
             heldRequest.goOn();
-            serveRead(silent, fixture.nodes.get(0).next(), "a1");
+            serveRead(silentClient, fixture.nodes.get(0).next(), "a1");
         }
     }
 
-    /** Like the previous test, within a command: a command whose rest has arrived must not be rejected as incomplete. */
+    /** Like the previous test, within a command: if its rest has arrived, it must not be rejected as incomplete. */
     @Test
     void doesNotRejectCommandWhoseRestIsUnread() throws Exception {
         HeldRequest heldRequest = new HeldRequest();
         try (Fixture fixture = new Fixture(1, s -> s, 1024, Fixture::allServing, heldRequest::wrap)) {
-            Peer slow = fixture.client();
-            slow.send("mn\r\nmg 7f3a9c21e0b4d655 v O");
-            slow.expect("MN");
+            Peer slowClient = fixture.client();
+            slowClient.send("mn\r\nmg 7f3a9c21e0b4d655 v O");
+            slowClient.expect("MN");
             long startedNanos = System.nanoTime();
-            fixture.client().send(Fixture.read("b1", 0).replace("d=", HeldRequest.SIZE + "d=")); // not forwarded: its wait is 0
+            // not forwarded: its wait is 0
+            fixture.client().send(Fixture.read("b1", 0).replace("d=", HeldRequest.SIZE + "d="));
             heldRequest.await();
-            slow.send("a1 Pc=lookup,t=acme,d=4000\r\n");
+            slowClient.send("a1 Pc=lookup,t=acme,d=4000\r\n");
             while (System.nanoTime() - startedNanos < 2_300_000_000L) {
                 Thread.onSpinWait(); // until the timeout has passed
             }
             heldRequest.goOn();
-            serveRead(slow, fixture.nodes.get(0).next(), "a1");
+            serveRead(slowClient, fixture.nodes.get(0).next(), "a1");
         }
     }
 
     /** A request whose deadline is after the shutdown notice must get a response before the process ends. */
     @Test
     void failsRequestWithDeadlineAfterShutdownNotice() throws Exception {
-        try (Fixture fixture = new Fixture(1, s -> s.replace("\"deadlineMs\":5000.0", "\"deadlineMs\":60000.0"), 1024)) {
+        try (Fixture fixture =
+                new Fixture(1, s -> s.replace("\"deadlineMs\":5000.0", "\"deadlineMs\":60000.0"), 1024)) {
             Peer client = fixture.client();
             client.send(Fixture.write("charge", "c1", 60_000) + Fixture.read("a1", 60_000));
             Peer node = fixture.nodes.get(0).next();
@@ -275,7 +279,8 @@
     @Test
     void shutdownNoticeFollowsLongestDeadline() throws Exception {
         for (double[] deadlineAndNoticeMs : new double[][] {{300, 900}, {2500, 3100}, {60_000, 3600}, {0, 3600}}) {
-            try (Fixture fixture = new Fixture(1, s -> s.replace("\"deadlineMs\":5000.0", "\"deadlineMs\":" + deadlineAndNoticeMs[0]), 1024)) {
+            try (Fixture fixture = new Fixture(
+                    1, s -> s.replace("\"deadlineMs\":5000.0", "\"deadlineMs\":" + deadlineAndNoticeMs[0]), 1024)) {
                 assertEquals(deadlineAndNoticeMs[1] * 1000, fixture.proxy.shutdownNoticeUs());
             }
         }
@@ -359,7 +364,8 @@
             while (fixture.loop.submit(() -> fixture.proxy.reserved().get("requests") == 0).get()) {
                 Thread.onSpinWait();
             }
-            Fixture.toldAndEnded(fixture.watch(), Fixture.list(3, false, previousEntry)); // listed again unchanged: the request keeps waiting
+            // listed again unchanged: the request keeps waiting
+            Fixture.toldAndEnded(fixture.watch(), Fixture.list(3, false, previousEntry));
             assertFalse(client.ready());
             Fixture.toldAndEnded(
                     fixture.watch(),
--- a/proxy/src/test/java/cacheproxy/server/LateBusyTest.java
+++ b/proxy/src/test/java/cacheproxy/server/LateBusyTest.java
@@ -54,7 +54,8 @@
     }
 
     /** Sends requests until one reaches a node: after a failure the proxy may reject some immediately. */
-    private static ForwardedRequest sendUntilForwarded(Peer client, Arrivals arrivals, String id, String command) throws Exception {
+    private static ForwardedRequest sendUntilForwarded(Peer client, Arrivals arrivals, String id, String command)
+            throws Exception {
         for (int i = 0; i < 50; i++) {
             client.send(command.replace("?", id + "-" + i));
             Peer readyPeer = arrivals.nextOr(client);
@@ -155,7 +156,7 @@
         }
     }
 
-    /** If lookups used unrestricted connections first, they would restrict them, and each charge would open a new one. */
+    /** If lookups used unrestricted connections first, they would restrict them, and each charge need a new one. */
     @Test
     void chargesReuseConnectionsAmongBusyLookups() throws Exception {
         try (Fixture fixture = hedgingFixture(1)) {
@@ -197,7 +198,8 @@
             Peer writer = fixture.client();
             serveRequests(reader, arrivals);
             ForwardedRequest front = sendUntilForwarded(reader, arrivals, "a", LOOKUP);
-            ForwardedRequest elsewhere = sendUntilForwarded(otherClient, arrivals, "ab", LOOKUP); // balances the requests in flight
+            // balances the requests in flight
+            ForwardedRequest elsewhere = sendUntilForwarded(otherClient, arrivals, "ab", LOOKUP);
             ForwardedRequest charge = sendUntilForwarded(writer, arrivals, "c", CHARGE);
             assertNotSame(front.node(), elsewhere.node());
             assertSame(front.node(), charge.node(), "lookup and charge share a connection");
--- a/proxy/src/test/java/cacheproxy/server/ClientDisconnectTest.java
+++ b/proxy/src/test/java/cacheproxy/server/LeavingCrossingTest.java
@@ -19,11 +19,11 @@
 
 /** Tests that after a client disconnects, its requests that were not forwarded yet are not forwarded any more. */
 @Timeout(60)
-class ClientDisconnectTest {
+class LeavingCrossingTest {
     /** Longer than any wait in these tests, so that what they observe is not caused by a deadline. */
     private static final int LONG_DEADLINE_MS = 60_000;
 
-    /** Extends the latency objective too: at a fraction of it the router would count the delay against the node. */
+    /** Also extends the latency objective: after a part of it the router would blame the node and avoid it. */
     private static String withLongDeadlines(String settings) {
         return settings.replace("\"deadlineMs\":5000.0", "\"deadlineMs\":" + LONG_DEADLINE_MS + ".0")
                 .replace("\"targetMs\":750.0", "\"targetMs\":40000.0");
@@ -33,18 +33,23 @@
         void apply(Peer client) throws Exception;
     }
 
-    private static final List<Disconnect> DISCONNECTS = List.of(Peer::close, Peer::reset, c -> c.socket.shutdownOutput());
+    private static final List<Disconnect> DISCONNECTS =
+            List.of(Peer::close, Peer::reset, c -> c.socket.shutdownOutput());
 
     /** Disconnects a client whose connection is not read from, and expects its attempt to be cancelled at the node. */
     private static void expectCancelled(String trailingInput, boolean rejectIncompleteCommand) throws Exception {
         for (Disconnect disconnect : DISCONNECTS) {
-            try (Fixture fixture = new Fixture(1, ClientDisconnectTest::withLongDeadlines, 1024)) {
+            try (Fixture fixture = new Fixture(1, LeavingCrossingTest::withLongDeadlines, 1024)) {
                 Peer client = fixture.client();
                 client.send(Fixture.read("a1", LONG_DEADLINE_MS) + trailingInput);
                 Peer node = fixture.nodes.get(0).next();
                 assertEquals("Oa1", Arrivals.command(node));
                 if (rejectIncompleteCommand) {
-                    fixture.loop.submit(() -> fixture.proxy.clients.all().forEach(s -> s.failConnection("CLIENT_ERROR no end")))
+                    fixture.loop
+                            .submit(() -> fixture.proxy
+                                    .clients
+                                    .all()
+                                    .forEach(s -> s.failConnection("CLIENT_ERROR no end")))
                             .get();
                 }
                 disconnect.apply(client);
@@ -90,7 +95,7 @@
                     for (int i = 0; i < requests; i++) {
                         commands.append(Fixture.read("a" + i, LONG_DEADLINE_MS));
                     }
-                    try (Fixture fixture = new Fixture(1, ClientDisconnectTest::withLongDeadlines, 1024)) {
+                    try (Fixture fixture = new Fixture(1, LeavingCrossingTest::withLongDeadlines, 1024)) {
                         Peer client = fixture.client();
                         client.send("nonsense\r\n" + (inSeparateWrite ? "" : commands));
                         client.expect("ERROR");
@@ -120,7 +125,9 @@
     void doesNotForwardRequestSentDuringStall() throws Exception {
         for (Disconnect disconnect : DISCONNECTS) {
             try (Fixture fixture = new Fixture(
-                    1, s -> withLongDeadlines(s).replace("\"drainGraceMs\":1000.0", "\"drainGraceMs\":18000.0"), 1024)) {
+                    1,
+                    s -> withLongDeadlines(s).replace("\"drainGraceMs\":1000.0", "\"drainGraceMs\":18000.0"),
+                    1024)) {
                 Peer client = fixture.client();
                 client.send("mn\r\n");
                 client.expect("MN");
@@ -151,7 +158,7 @@
     }
 
     private static void disconnectsOverLimit(Disconnect disconnect, int requests) throws Exception {
-        try (Fixture fixture = new Fixture(1, ClientDisconnectTest::withLongDeadlines, 1024)) {
+        try (Fixture fixture = new Fixture(1, LeavingCrossingTest::withLongDeadlines, 1024)) {
             StringBuilder commands = new StringBuilder();
             for (int i = 0; i < requests; i++) {
                 commands.append(Fixture.read("a" + i, LONG_DEADLINE_MS));
@@ -186,8 +193,8 @@
      */
     @Test
     void detectsDisconnectByWritingResponses() throws Exception {
-        for (Disconnect disconnect : DISCONNECTS.subList(0, 2)) { // a client that only shut down its output still reads responses
-            try (Fixture fixture = new Fixture(1, ClientDisconnectTest::withLongDeadlines, 1024)) {
+        for (Disconnect disconnect : DISCONNECTS.subList(0, 2)) { // a client that only shut down its output reads on
+            try (Fixture fixture = new Fixture(1, LeavingCrossingTest::withLongDeadlines, 1024)) {
                 StringBuilder commands = new StringBuilder();
                 for (int i = 0; i < 4000; i++) {
                     commands.append(Fixture.read("a" + i, LONG_DEADLINE_MS));
@@ -269,7 +276,9 @@
     }
 
     private static void awaitRequests(Fixture fixture, long requests, int clients) throws Exception {
-        while (fixture.loop.submit(() -> fixture.proxy.reserved().get("requests") != requests || fixture.proxy.clients.count() != clients)
+        while (fixture.loop
+                .submit(() -> fixture.proxy.reserved().get("requests") != requests
+                        || fixture.proxy.clients.count() != clients)
                 .get()) {
             Thread.onSpinWait();
         }
@@ -296,8 +305,8 @@
             for (int i = 0; i < 90; i++) { // 5.9 MB: more than the kernel buffers for a peer that does not read
                 Peer client = fixture.client();
                 clients.add(client);
-                client.send("ms 7f3a9c21e0b4d655 " + value.length() + " Oc" + i + " Pc=charge,t=acme,d=" + LONG_DEADLINE_MS
-                        + ",k=5c0f\r\n" + value + "\r\n");
+                client.send("ms 7f3a9c21e0b4d655 " + value.length() + " Oc" + i + " Pc=charge,t=acme,d="
+                        + LONG_DEADLINE_MS + ",k=5c0f\r\n" + value + "\r\n");
                 awaitRequests(fixture, i + 2, i + 2);
             }
             for (Peer client : clients) {
@@ -322,8 +331,12 @@
     @Test
     void doesNotForwardRestOfReadAfterClose() throws Exception {
         AtomicReference<Fixture> fixtureReference = new AtomicReference<>();
-        try (Fixture fixture =
-                new Fixture(1, ClientDisconnectTest::withLongDeadlines, 1024, Fixture::allServing, inner -> closingRouter(inner, fixtureReference))) {
+        try (Fixture fixture = new Fixture(
+                1,
+                LeavingCrossingTest::withLongDeadlines,
+                1024,
+                Fixture::allServing,
+                inner -> closingRouter(inner, fixtureReference))) {
             fixtureReference.set(fixture);
             Peer first = fixture.client();
             first.send(Fixture.read("r1", LONG_DEADLINE_MS) + Fixture.read("r2", LONG_DEADLINE_MS));
@@ -354,7 +367,7 @@
     /** A router that closes all client connections when it receives a request of {@link HeldRequest#SIZE}. */
     private static RequestRouter closingRouter(RequestRouter inner, AtomicReference<Fixture> fixtureReference) {
         return (RequestRouter) java.lang.reflect.Proxy.newProxyInstance(
-                ClientDisconnectTest.class.getClassLoader(),
+                LeavingCrossingTest.class.getClassLoader(),
                 new Class<?>[] {RequestRouter.class},
                 (self, method, args) -> {
                     if (method.getName().equals("onRequest") && ((RoutingRequest) args[1]).sizeBytes == 7) {
--- a/proxy/src/test/java/cacheproxy/server/MalformedResponseTest.java
+++ b/proxy/src/test/java/cacheproxy/server/MalformedResponseTest.java
@@ -36,7 +36,7 @@
         return node;
     }
 
-    /** Surplus bytes would be taken for the next response, and a request that is not idempotent would fail needlessly. */
+    /** Surplus bytes would be taken for the next response, and a request that is not idempotent would fail. */
     private static void expectNotReused(String surplus) throws Exception {
         try (Fixture fixture = new Fixture(1)) {
             Peer client = fixture.client();
@@ -145,7 +145,8 @@
     void ignoresImplausibleLoadReports() {
         for (String invalidNumber : new String[] {"Infinity", "1e300", "-1", "NaN", "x", ""}) {
             EmbeddedChannel channel = new EmbeddedChannel(new MetaResponseDecoder(new ByteBudget(1 << 20)));
-            String text = "HD Oa1 c7 Linflight=" + invalidNumber + ",util=" + invalidNumber + "\r\nHD Oa1 c7 Lutil=0.5\r\n";
+            String text =
+                    "HD Oa1 c7 Linflight=" + invalidNumber + ",util=" + invalidNumber + "\r\nHD Oa1 c7 Lutil=0.5\r\n";
             channel.writeInbound(Unpooled.copiedBuffer(text, StandardCharsets.ISO_8859_1));
             LoadReport report = new LoadReport();
             ((MetaResponse) channel.readInbound()).readLoadReport(report);
--- a/proxy/src/test/java/cacheproxy/server/NodeLinkTest.java
+++ b/proxy/src/test/java/cacheproxy/server/NodeLinkTest.java
@@ -66,7 +66,8 @@
             Peer client = fixture.client();
             Peer oldAddressPeer = sendAndAwaitArrival(client, arrivals, Fixture.read("a1", 4000));
             serveRead(client, oldAddressPeer, "a1");
-            Fixture.toldAndEnded(fixture.watch(), Fixture.list(2, true, Fixture.entry(0, "SERVING", fixture.nodes.get(1))));
+            Fixture.toldAndEnded(
+                    fixture.watch(), Fixture.list(2, true, Fixture.entry(0, "SERVING", fixture.nodes.get(1))));
             oldAddressPeer.expectEnd(); // an idle connection to the previous address is closed
             Peer currentAddressPeer = sendAndAwaitArrival(client, arrivals, Fixture.read("a2", 4000));
             assertEquals(1, arrivals.node(currentAddressPeer));
@@ -108,7 +109,9 @@
                 clients.get(i).expect("HD Oc" + i + " c7");
             }
             // all are idle connections to the first node now; one is evicted for a connection to the second
-            Fixture.toldAndEnded(fixture.watch(), Fixture.list(2, true, fixture.entry(0, "SERVING"), fixture.entry(1, "SERVING")));
+            Fixture.toldAndEnded(
+                    fixture.watch(),
+                    Fixture.list(2, true, fixture.entry(0, "SERVING"), fixture.entry(1, "SERVING")));
             boolean reachedSecondNode = false;
             for (int i = 0; i < 40 && !reachedSecondNode; i++) {
                 String id = "e" + i;
@@ -218,10 +221,12 @@
     /** The router may ask to close idle connections while a response is delivered, before the connection is idle. */
     @Test
     void closesConnectionOnRouterRequestAfterResponse() throws Exception {
-        try (Fixture fixture = new Fixture(1, s -> s.replace("\"idleCloseMs\":30000.0", "\"idleCloseMs\":800.0"), 1024)) {
+        try (Fixture fixture =
+                new Fixture(1, s -> s.replace("\"idleCloseMs\":30000.0", "\"idleCloseMs\":800.0"), 1024)) {
             Arrivals arrivals = new Arrivals(fixture);
             Peer client = fixture.client();
-            Peer node = sendAndAwaitArrival(client, arrivals, Fixture.read("a1", 4000)); // no further request is expected within 0.8 s
+            // the router expects no further request within 0.8 s
+            Peer node = sendAndAwaitArrival(client, arrivals, Fixture.read("a1", 4000));
             Future<?> idleTimeout = fixture.loop.schedule(() -> {}, 600, TimeUnit.MILLISECONDS);
             serveRead(client, node, "a1");
             node.expectEnd();
@@ -235,7 +240,9 @@
         try (Fixture fixture = new Fixture(1)) {
             Arrivals arrivals = new Arrivals(fixture);
             Peer client = fixture.client();
-            String[] leavingEntries = {fixture.entry(0, "DRAINING"), fixture.entry(0, "DELETED"), fixture.entry(0, "DRAINING")};
+            String[] leavingEntries = {
+                fixture.entry(0, "DRAINING"), fixture.entry(0, "DELETED"), fixture.entry(0, "DRAINING")
+            };
             Peer watch = fixture.watch();
             for (int i = 0; i < leavingEntries.length; i++) {
                 Peer node = sendAndAwaitArrival(client, arrivals, Fixture.read("a" + i, 4000));
--- a/proxy/src/test/java/cacheproxy/server/Peer.java
+++ b/proxy/src/test/java/cacheproxy/server/Peer.java
@@ -103,7 +103,7 @@
             this(0);
         }
 
-        /** {@code takes}: approximate receive buffer of the kernel in bytes; 0 for the kernel's default. */
+        /** {@code receiveBufferBytes}: approximate size of the kernel's receive buffer; 0 for the kernel's default. */
         Listener(int receiveBufferBytes) throws IOException {
             server = new ServerSocket();
             if (receiveBufferBytes > 0) {
@@ -190,9 +190,9 @@
         Peer hear() throws IOException {
             server.setSoTimeout(WAIT_MS);
             while (true) {
-                Socket pending = server.accept();
-                if (queued.stream().noneMatch(q -> q.getLocalPort() == pending.getPort())) {
-                    return new Peer(pending);
+                Socket accepted = server.accept();
+                if (queued.stream().noneMatch(q -> q.getLocalPort() == accepted.getPort())) {
+                    return new Peer(accepted);
                 }
             }
         }
--- a/proxy/src/test/java/cacheproxy/server/PlainMemcachedTest.java
+++ b/proxy/src/test/java/cacheproxy/server/PlainMemcachedTest.java
@@ -95,7 +95,7 @@
 
     /** A hit without a value, from a node that doesn't support {@code v}, must not be served as a value. */
     @Test
-    void rejectsReadAnsweredWithoutValue() throws Exception {
+    void doesNotServeReadAnsweredWithoutValue() throws Exception {
         try (Fixture fixture = new Fixture(1)) {
             Arrivals arrivals = new Arrivals(fixture);
             Peer client = fixture.client();
--- a/proxy/src/test/java/cacheproxy/server/RetryCrossingTest.java
+++ b/proxy/src/test/java/cacheproxy/server/RetryCrossingTest.java
@@ -11,7 +11,7 @@
 class RetryCrossingTest {
     private static final int LONG_DEADLINE_MS = 60_000;
 
-    /** Extends the latency objective too: at a fraction of it the router would count the delay against the node. */
+    /** Also extends the latency objective: after a part of it the router would blame the node and avoid it. */
     private static String withLongDeadlines(String settings) {
         return settings.replace("\"deadlineMs\":5000.0", "\"deadlineMs\":" + LONG_DEADLINE_MS + ".0")
                 .replace("\"targetMs\":750.0", "\"targetMs\":40000.0");
@@ -41,7 +41,10 @@
             try (Fixture fixture = new Fixture(1, s -> s, 1024, Fixture::allServing, heldRequest::wrap)) {
                 Peer client = fixture.client();
                 Peer other = fixture.client();
-                client.send(requestClass.equals("lookup") ? Fixture.read("a1", 400) : Fixture.write(requestClass, "a1", 400));
+                client.send(
+                        requestClass.equals("lookup")
+                                ? Fixture.read("a1", 400)
+                                : Fixture.write(requestClass, "a1", 400));
                 Peer node = fixture.nodes.get(0).next();
                 assertEquals("Oa1", Arrivals.command(node));
                 other.send(Fixture.read("b1", 4000).replace("d=", HeldRequest.SIZE + "d="));
@@ -65,7 +68,10 @@
             try (Fixture fixture = new Fixture(1, s -> s, 1024, Fixture::allServing, heldRequest::wrap)) {
                 Peer client = fixture.client();
                 Peer other = fixture.client();
-                client.send(requestClass.equals("lookup") ? Fixture.read("a1", 4000) : Fixture.write(requestClass, "a1", 4000));
+                client.send(
+                        requestClass.equals("lookup")
+                                ? Fixture.read("a1", 4000)
+                                : Fixture.write(requestClass, "a1", 4000));
                 Peer node = fixture.nodes.get(0).next();
                 assertEquals("Oa1", Arrivals.command(node));
                 node.send(requestClass.equals("lookup") ? "VA 1 Oa1" : "HD Oa1");
@@ -93,7 +99,12 @@
         for (String requestClass : new String[] {"charge", "submit"}) {
             for (boolean reset : new boolean[] {false, true}) {
                 HeldRequest heldRequest = new HeldRequest();
-                try (Fixture fixture = new Fixture(1, RetryCrossingTest::withSharedConnections, 1024, Fixture::allServing, heldRequest::wrap)) {
+                try (Fixture fixture = new Fixture(
+                        1,
+                        RetryCrossingTest::withSharedConnections,
+                        1024,
+                        Fixture::allServing,
+                        heldRequest::wrap)) {
                     Peer client = fixture.client();
                     Peer other = fixture.client();
                     other.send(Fixture.read("b1", LONG_DEADLINE_MS));
@@ -124,7 +135,8 @@
     void nonIdempotentRequestDoesNotShareConnectionWithUnreadErrorLine() throws Exception {
         for (String requestClass : new String[] {"charge", "submit"}) {
             HeldRequest heldRequest = new HeldRequest();
-            try (Fixture fixture = new Fixture(1, RetryCrossingTest::withSharedConnections, 1024, Fixture::allServing, heldRequest::wrap)) {
+            try (Fixture fixture = new Fixture(
+                    1, RetryCrossingTest::withSharedConnections, 1024, Fixture::allServing, heldRequest::wrap)) {
                 Peer client = fixture.client();
                 Peer other = fixture.client();
                 other.send(Fixture.read("b1", LONG_DEADLINE_MS));
@@ -160,8 +172,8 @@
             String value = "v".repeat(64 << 10);
             for (int i = 0; i < 90; i++) { // 5.9 MB: more than the kernel buffers for a peer that does not read
                 fixture.client()
-                        .send("ms 7f3a9c21e0b4d655 " + value.length() + " Oc" + i + " Pc=charge,t=acme,d=" + LONG_DEADLINE_MS
-                                + ",k=5c0f\r\n" + value + "\r\n");
+                        .send("ms 7f3a9c21e0b4d655 " + value.length() + " Oc" + i + " Pc=charge,t=acme,d="
+                                + LONG_DEADLINE_MS + ",k=5c0f\r\n" + value + "\r\n");
                 awaitRequests(fixture, i + 2);
             }
             Fixture.toldAndEnded(fixture.watch(), Fixture.list(2, false, fixture.entry(0, "SERVING")));
@@ -189,13 +201,13 @@
     private static final String LARGE_VALUE = "v".repeat(64 << 10);
 
     private static String largeWrite(String requestClass, String id) {
-        return "ms 7f3a9c21e0b4d655 " + LARGE_VALUE.length() + " O" + id + " Pc=" + requestClass + ",t=acme,d=" + LONG_DEADLINE_MS
-                + ",k=5c0f\r\n" + LARGE_VALUE + "\r\n";
+        return "ms 7f3a9c21e0b4d655 " + LARGE_VALUE.length() + " O" + id + " Pc=" + requestClass + ",t=acme,d="
+                + LONG_DEADLINE_MS + ",k=5c0f\r\n" + LARGE_VALUE + "\r\n";
     }
 
     private static void expectCommandLine(Peer node, String id) throws Exception {
         String line = node.line();
-        assertTrue(line.contains(" O" + id + " "), line); // and the value was not read
+        assertTrue(line.contains(" O" + id + " "), line); // the value stays unread
     }
 
     /** Expects the connection to end before the value is complete. */
--- a/proxy/src/test/java/cacheproxy/server/RetryIdempotencyTest.java
+++ b/proxy/src/test/java/cacheproxy/server/RetryEffectsTest.java
@@ -14,7 +14,7 @@
  * and one that was never executed must not fail.
  */
 @Timeout(60)
-class RetryIdempotencyTest {
+class RetryEffectsTest {
     private static final int SOCKET_BUFFER_BYTES = 4096;
     private static final String LARGE_VALUE = "v".repeat(64 << 10);
     private static final List<String> CLASSES = List.of("lookup", "charge", "submit");
@@ -42,7 +42,11 @@
                     0,
                     settings::apply,
                     1024,
-                    self -> Fixture.list(1, true, Fixture.entry(1, "SERVING", firstNode), Fixture.entry(2, "SERVING", secondNode)),
+                    self -> Fixture.list(
+                            1,
+                            true,
+                            Fixture.entry(1, "SERVING", firstNode),
+                            Fixture.entry(2, "SERVING", secondNode)),
                     router -> router,
                     Fixture.holdsLittle(SOCKET_BUFFER_BYTES));
         }
@@ -68,14 +72,16 @@
     }
 
     private static String request(String requestClass) {
-        return "ms 7f3a9c21e0b4d655 " + LARGE_VALUE.length() + " Oc1 Pc=" + requestClass + ",t=acme,d=4000,k=5c0f\r\n" + LARGE_VALUE
-                + "\r\n";
+        return "ms 7f3a9c21e0b4d655 " + LARGE_VALUE.length() + " Oc1 Pc=" + requestClass + ",t=acme,d=4000,k=5c0f\r\n"
+                + LARGE_VALUE + "\r\n";
     }
 
     /** The first node resets the connection; checks whether the request is retried, and the client's response. */
-    private static void resetAndCheckRetry(UnaryOperator<String> settings, String requestClass, boolean completelyWritten, boolean retried)
+    private static void resetAndCheckRetry(
+            UnaryOperator<String> settings, String requestClass, boolean completelyWritten, boolean retried)
             throws Exception {
-        String description = requestClass + (completelyWritten ? " after" : " before") + " its last byte, retried " + retried;
+        String description =
+                requestClass + (completelyWritten ? " after" : " before") + " its last byte, retried " + retried;
         try (TwoNodes nodes = new TwoNodes(settings)) {
             Peer client = nodes.fixture.client();
             client.send(request(requestClass));
@@ -99,7 +105,8 @@
         }
     }
 
-    private static void checkAllClasses(UnaryOperator<String> settings, boolean retriedBeforeLastByte, List<String> retriedAfterLastByte)
+    private static void checkAllClasses(
+            UnaryOperator<String> settings, boolean retriedBeforeLastByte, List<String> retriedAfterLastByte)
             throws Exception {
         for (String requestClass : CLASSES) {
             resetAndCheckRetry(settings, requestClass, false, retriedBeforeLastByte);
