--- a/proxy/src/main/java/cacheproxy/client/ClientConnections.java
+++ b/proxy/src/main/java/cacheproxy/client/ClientConnections.java
@@ -11,18 +11,18 @@
 
 /**
  * All client connections of the proxy and what they share: the bound on their number, the byte budgets, and the fair
- * order in which their commands are decoded. Lives on the event loop.
+ * order in which their commands are decoded. Used on the event loop only.
  */
 public final class ClientConnections {
-    /** Connections over the bound that are still sent a response before they are closed. */
+    /** Connections above the limit that still receive an error response before they are closed. */
     public static final int MAX_REJECTING = 16;
 
-    private static final long MAX_VALUE_BYTES_COMING = 4L << 20;
+    private static final long MAX_INCOMING_VALUE_BYTES = 4L << 20;
     private static final long MAX_UNWRITTEN_RESPONSE_BYTES = 12L << 20;
-    /** For connections whose reading is suspended and which are read ahead only to notice that they close. */
+    /** For connections whose reading is suspended and that are read ahead only to detect that the client closes. */
     private static final long MAX_READ_AHEAD_BYTES = 2L << 20;
 
-    /** Work of one turn, in the unit of {@link ClientSession}'s costs: four requests, or sixteen no-ops. */
+    /** Work of one scheduling turn in the cost units of {@link ClientSession}: four requests, or sixteen no-ops. */
     private static final double TURN_QUANTUM = 16;
 
     private static final int TURNS_PER_ROUND = 3;
@@ -32,9 +32,9 @@
     private final RequestNames names;
     private final RequestHandler handler;
     private final ConnectionLimiter limiter;
-    private final ByteBudget valueBytesComing = new ByteBudget(MAX_VALUE_BYTES_COMING);
+    private final ByteBudget incomingValueBytes = new ByteBudget(MAX_INCOMING_VALUE_BYTES);
     private final ByteBudget readAheadBytes = new ByteBudget(MAX_READ_AHEAD_BYTES);
-    /** Connections with bytes that wait to be decoded as commands. */
+    /** Connections with bytes that are waiting to be decoded as commands. */
     private final DeficitRoundRobin<ClientSession> turns = new DeficitRoundRobin<>(TURN_QUANTUM);
 
     private boolean roundScheduled;
@@ -43,8 +43,9 @@
     private Runnable onAllClosed;
 
     /**
-     * @param maxConnections beyond it connections are rejected
-     * @param maxEstablished connections that have sent a command; beyond it those that came once are closed when idle
+     * @param maxConnections number of open connections above which new ones are rejected
+     * @param maxEstablished number of connections that have sent a command above which those that were used only once
+     *     are closed when idle
      */
     public ClientConnections(
             EventLoopClock clock,
@@ -58,12 +59,12 @@
         this.names = names;
         this.handler = handler;
         limiter = new ConnectionLimiter(this, clock, maxConnections, maxEstablished);
-        valueBytesComing.reclaimWith(limiter::reclaimSlowestValue);
+        incomingValueBytes.reclaimWith(limiter::discardLongestIncomingValue);
     }
 
-    /** Puts the handlers of a client connection into a new channel's pipeline. */
+    /** Adds the handlers of a client connection to a new channel's pipeline. */
     public void initialize(Channel channel) {
-        MetaCommandDecoder decoder = new MetaCommandDecoder(names, valueBytesComing);
+        MetaCommandDecoder decoder = new MetaCommandDecoder(names, incomingValueBytes);
         channel.pipeline().addLast(decoder, new ClientSession(this, decoder));
     }
 
@@ -72,14 +73,14 @@
         return limiter.count();
     }
 
-    /** The connections that are open now. */
+    /** A copy of the list of open connections. */
     public List<ClientSession> all() {
         return limiter.all();
     }
 
     /**
-     * Closes each connection once it has nothing to answer, now and from now on; {@code onAllClosed} is run when none
-     * is left.
+     * Closes each connection, present or future, as soon as it has no unanswered request. Runs {@code onAllClosed} when
+     * no connection is left.
      */
     public void closeAll(Runnable onAllClosed) {
         this.onAllClosed = onAllClosed;
@@ -87,22 +88,22 @@
         notifyIfAllClosed();
     }
 
-    /** The process is about to end: what was read already is decoded and answered without waiting for a turn. */
+    /** Decodes and answers everything already read without waiting for a turn, because the process is about to end. */
     public void decodeAllNow() {
         limiter.all().forEach(ClientSession::decodeNow);
     }
 
-    /** Bytes of values that are coming from clients. */
-    public long valueBytesComing() {
-        return valueBytesComing.reservedBytes();
+    /** Bytes of values that clients are in the middle of sending. */
+    public long incomingValueBytes() {
+        return incomingValueBytes.reservedBytes();
     }
 
-    /** Bytes reserved for reading ahead. */
+    /** Bytes reserved for reading ahead on suspended connections. */
     public long readAheadBytes() {
         return readAheadBytes.reservedBytes();
     }
 
-    /** Bytes of responses that clients have not taken yet. */
+    /** Bytes of responses that have not been written to the clients' sockets yet. */
     public long unwrittenResponseBytes() {
         return unwrittenResponseBytes;
     }
@@ -153,14 +154,14 @@
         }
     }
 
-    /** Called before the connection is closed. */
+    /** Must be called before the connection is closed, while its remote address is still known. */
     void logClose(Channel channel, String reason) {
         if (log.tracesRequests()) {
             log.line(Log.Topic.REQUESTS, "client connection " + channel.remoteAddress() + " closed: " + reason);
         }
     }
 
-    /** So many connections have responses or commands that the proxy itself has not moved on. */
+    /** Logs the number of connections whose responses or commands are waiting for the proxy itself. */
     void logStuck(int connections) {
         if (connections > 0) {
             log.line(connections + " client connections have had responses or commands waiting in the proxy for over"
@@ -168,19 +169,19 @@
         }
     }
 
-    // ---- the order in which commands are decoded ----
+    // ---- fair scheduling of command decoding ----
 
-    void beginRead(DeficitRoundRobin.FlowState account) {
-        turns.onWorkArrived(account);
+    void beginRead(DeficitRoundRobin.FlowState flowState) {
+        turns.onWorkArrived(flowState);
     }
 
-    /** The session has undecoded commands and waits for its turn. */
-    void awaitTurn(ClientSession session, DeficitRoundRobin.FlowState account) {
-        turns.enqueue(session, account);
+    /** Queues a session that has undecoded commands for its next turn. */
+    void awaitTurn(ClientSession session, DeficitRoundRobin.FlowState flowState) {
+        turns.enqueue(session, flowState);
         scheduleRound();
     }
 
-    /** By a timer, since tasks that submit one another would keep the event loop from its sockets. */
+    /** Uses a timer, because tasks that submit one another would keep the event loop from polling its sockets. */
     private void scheduleRound() {
         if (!roundScheduled) {
             roundScheduled = true;
@@ -188,10 +189,10 @@
         }
     }
 
-    /** Runs a few turns and returns to the sockets, so that sessions with little to do need not wait for the others. */
+    /** Runs a few turns, then lets the event loop poll its sockets, so that sessions with few commands do not wait. */
     private void runRound() {
-        roundScheduled = false; // first: a session that is not through with its turn asks for the next
-        for (int left = Math.min(TURNS_PER_ROUND, turns.queuedFlows()); left > 0; left--) {
+        roundScheduled = false; // cleared first: a session that does not finish in its turn schedules the next
+        for (int turnsLeft = Math.min(TURNS_PER_ROUND, turns.queuedFlows()); turnsLeft > 0; turnsLeft--) {
             turns.next().resumeDecoding();
         }
         if (turns.queuedFlows() > 0) {
--- a/proxy/src/main/java/cacheproxy/client/ClientRequest.java
+++ b/proxy/src/main/java/cacheproxy/client/ClientRequest.java
@@ -2,6 +2,6 @@
 
 /** An open request of a client. */
 public interface ClientRequest {
-    /** The client has closed its connection: nobody waits for the response any more. */
+    /** Called when the client has closed its connection and the response is no longer needed. */
     void clientClosed();
 }
--- a/proxy/src/main/java/cacheproxy/client/ClientSession.java
+++ b/proxy/src/main/java/cacheproxy/client/ClientSession.java
@@ -21,37 +21,38 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * One client connection: its requests in order, each with one response, written in that order. Lives on the event loop.
+ * One client connection: its requests in order, each with one response, written in that order. Used on the event loop
+ * only.
  *
  * <p>Reading is suspended while the client has too many unanswered requests, does not read its responses, has used up
- * its turn, or has just sent what cannot be decoded. A suspended connection is still read a little at times, because
- * the kernel shows a close or a reset only to those who read.
+ * its turn, or has just sent something that cannot be decoded. A suspended connection is still read a little from time
+ * to time, because a close or a reset only becomes visible by reading.
  */
 public final class ClientSession extends SimpleChannelInboundHandler<Object>
         implements MetaProtocolDecoder.ReadGate, RejectionEvidence {
-    /** With so many unanswered requests the connection is not read on. */
+    /** Reading is suspended while the connection has this many unanswered requests. */
     private static final int MAX_UNANSWERED = 128;
 
     /** How long the client is given to close its side after the proxy has closed its own. */
     private static final int LINGER_MS = 500;
-    /** A closing client that takes none of its last responses for so long is cut off. */
+    /** A closing connection is cut off if the client reads nothing of its last responses for this long. */
     private static final int SLOW_READER_TIMEOUT_MS = 3_000;
-    /** Protocol errors that are tolerated at once, and a second; one more ends the connection. */
-    private static final double PROTOCOL_ERRORS_BURST = 6;
+    /** Tolerated protocol errors, as a burst and per second; one more closes the connection. */
+    private static final double PROTOCOL_ERROR_BURST = 6;
 
     private static final double PROTOCOL_ERRORS_PER_S = 0.5;
-    /** Costs of a turn's work: of a no-op or error, of a request, and of so many bytes of a value. */
+    /** Scheduling costs: of a no-op or an error, of a request, and the number of value bytes that cost 1. */
     private static final double NO_OP_COST = 1;
 
     private static final double REQUEST_COST = 4;
     private static final double VALUE_BYTES_PER_COST = 4 << 10;
-    /** How long the connection is not read after a protocol error. */
+    /** How long reading pauses after a protocol error. */
     private static final int PROTOCOL_ERROR_PAUSE_MS = 500;
 
     private static final long STUCK_US = 100_000;
-    /** Requests of a client that has closed are to be cancelled within 0.3 s: its close is looked for this often. */
+    /** Requests must be cancelled within 0.3 s after their client closes, so this often a close is checked for. */
     private static final long CLOSE_CHECK_INTERVAL_US = 100_000;
-    /** A suspended connection is read ahead so far, to find its close; the second for a few that send much. */
+    /** Read-ahead limits for detecting a close while suspended; the larger one for a few that send a lot. */
     private static final int READ_AHEAD_BYTES = 8 << 10;
 
     private static final int FAR_READ_AHEAD_BYTES = 64 << 10;
@@ -59,27 +60,27 @@
     private final ClientConnections connections;
     private final MetaCommandDecoder decoder;
     private final ArrayDeque<ResponseSlot> slots = new ArrayDeque<>();
-    private final DeficitRoundRobin.FlowState turnAccount = new DeficitRoundRobin.FlowState();
+    private final DeficitRoundRobin.FlowState flowState = new DeficitRoundRobin.FlowState();
     private Channel channel;
 
     // Kept for ConnectionLimiter; times in microseconds.
     long openedUs;
     long idleSinceUs;
     long commandBegunUs;
-    /** Whether it was used again after it had been idle. */
-    boolean cameBack;
+    /** Whether the connection was used again after it had been idle. */
+    boolean reused;
 
     // Reading
-    /** Lateness of the event loop when the connection was accepted. */
+    /** How late the event loop was running when the connection was accepted. */
     private long acceptedLateUs;
 
     private boolean firstReadDone;
     private boolean inRead;
-    /** A complete command has come in this read. */
+    /** Whether the current read has completed a command. */
     private boolean commandCompleted;
 
     private boolean established;
-    /** The decoder holds bytes that it may not decode yet; and since when, 0 for not. */
+    /** Whether the decoder holds bytes that it may not decode yet, and since when; 0 if it holds none. */
     private boolean decodingSuspended;
 
     private long undecodedSinceUs;
@@ -93,26 +94,26 @@
     private long unwrittenBytes;
 
     // Closing
-    /** What still comes is ignored: it lies behind lost framing, or after the end of our sending. */
+    /** Whether further input is ignored: after framing was lost, or after the proxy has closed its output. */
     private boolean ignoresInput;
 
     private boolean framingLost;
     private boolean rejectsRequests;
-    /** Closes once all that was requested is answered. */
+    /** Whether to close once all pending requests are answered. */
     private boolean closesAfterResponses;
-    /** Closes when idle; until then it is read on, since its client goes on using it. */
+    /** Whether to close when idle; until then it is still read, since the client may go on using it. */
     private boolean draining;
 
     private boolean finalReadDone;
-    /** All requests are answered, but commands that were read wait for their turn. */
-    private boolean restCheckDue;
+    /** All requests are answered, but commands already read are waiting for their turn. */
+    private boolean idleCheckDue;
 
     private boolean outputClosed;
 
     // Rejections by endpoints
     private boolean served;
     private EndpointPool firstRejectingPool;
-    /** Two endpoints have rejected its requests: the fault is the client's. */
+    /** Two endpoints have rejected its requests, which means that the client is at fault. */
     private boolean rejectedBySeveral;
 
     ClientSession(ClientConnections connections, MetaCommandDecoder decoder) {
@@ -135,20 +136,20 @@
     // ---- decoding in turns ----
 
     /**
-     * Lets the decoder go on while this connection has a turn and room for responses: one read may hold thousands of
-     * commands, for which all other connections would wait.
+     * Lets the decoder continue while this connection has a turn and room for responses. One read may hold thousands of
+     * commands, which would keep all other connections waiting.
      */
     @Override
     public boolean mayRead() {
         if (!channel.isActive()) {
-            return false; // nobody waits for what is left
+            return false; // closed: the remaining bytes need no response
         }
         if (!inRead) {
             inRead = true;
-            connections.beginRead(turnAccount);
+            connections.beginRead(flowState);
         }
-        boolean hasRoom = !pausedAfterError && slots.size() < MAX_UNANSWERED;
-        if (hasRoom && turnAccount.hasCredit()) {
+        boolean hasCapacity = !pausedAfterError && slots.size() < MAX_UNANSWERED;
+        if (hasCapacity && flowState.hasCredit()) {
             return true;
         }
         if (!decodingSuspended) {
@@ -156,13 +157,13 @@
             undecodedSinceUs = undecodedSinceUs == 0 ? connections.clock().nowUs() : undecodedSinceUs;
             updateReading();
         }
-        if (hasRoom) {
-            connections.awaitTurn(this, turnAccount);
+        if (hasCapacity) {
+            connections.awaitTurn(this, flowState);
         }
         return false;
     }
 
-    /** Its turn has come. */
+    /** Continues decoding; called when it is this session's turn. */
     void resumeDecoding() {
         if (!decodingSuspended || !channel.isActive()) {
             return;
@@ -176,7 +177,7 @@
         }
     }
 
-    /** Decodes what was read without waiting for the end of a pause. */
+    /** Decodes what has been read without waiting for the end of a pause after a protocol error. */
     void decodeNow() {
         pausedAfterError = false;
         awaitTurnIfSuspended();
@@ -185,13 +186,13 @@
 
     private void awaitTurnIfSuspended() {
         if (decodingSuspended && !pausedAfterError && slots.size() < MAX_UNANSWERED) {
-            connections.awaitTurn(this, turnAccount);
+            connections.awaitTurn(this, flowState);
         }
     }
 
     /**
-     * Whether something waits in the proxy that nothing is about to move: a response that was not handed to the kernel,
-     * or commands that have waited for their turn for too long. Asked between two reads.
+     * Whether something is stuck in the proxy: a response that was not flushed to the kernel, or commands that have
+     * waited for their turn for too long. Called between two reads.
      */
     boolean isStuck(long now) {
         boolean commandsWait =
@@ -199,14 +200,14 @@
         return flushDue || commandsWait && slots.size() < MAX_UNANSWERED;
     }
 
-    /** How long what is decoded now may have waited in the proxy, in microseconds. */
+    /** How long the command being decoded may have waited in the proxy, in microseconds. */
     public long undecodedForUs(long now) {
         return undecodedSinceUs == 0 ? 0 : now - undecodedSinceUs;
     }
 
     /**
-     * How long what the client sent first may have waited before it was read, in microseconds: in the kernel until the
-     * connection was accepted, and since. 0 after the first read.
+     * How long the client's first bytes may have waited before they were read, in microseconds: in the kernel until the
+     * connection was accepted, and since then. 0 after the first read.
      */
     public long acceptedLateUs(long now) {
         return firstReadDone || acceptedLateUs == 0 ? 0 : acceptedLateUs + now - openedUs;
@@ -229,7 +230,7 @@
             connections.limiter().established(this);
         }
         connections.limiter().busy(this);
-        turnAccount.charge(cost(message));
+        flowState.charge(cost(message));
         if (rejectsRequests && valid) {
             closesAfterResponses = true;
             respond(slot, connections.handler().overloadedLine("client connections"));
@@ -250,13 +251,13 @@
     }
 
     /**
-     * Answers with the error line at once, and then pauses reading: clients that repeat an error as soon as it is
-     * answered would take the time of all others. Where the framing is lost the connection is closed after the pause.
+     * Sends the error line at once, then pauses reading: a client that repeats an error as soon as it is answered would
+     * use up the event loop's time. If framing is lost, the connection is closed after the pause.
      */
     private void onProtocolError(ResponseSlot slot, ProtocolError error) {
         long now = connections.clock().nowUs();
         protocolErrors = protocolErrors == null
-                ? new TokenBucket(PROTOCOL_ERRORS_PER_S, PROTOCOL_ERRORS_BURST, now)
+                ? new TokenBucket(PROTOCOL_ERRORS_PER_S, PROTOCOL_ERROR_BURST, now)
                 : protocolErrors;
         if (error.framingLost() || decoder.hasUndecodedBytes() && !protocolErrors.tryConsume(now)) {
             framingLost = true;
@@ -265,35 +266,35 @@
         }
         if (!pausedAfterError && !connections.handler().isFinishing()) {
             pausedAfterError = true;
-            channel.eventLoop().schedule(() -> endPause(now), PROTOCOL_ERROR_PAUSE_MS, TimeUnit.MILLISECONDS);
+            channel.eventLoop().schedule(() -> endPauseAfterError(now), PROTOCOL_ERROR_PAUSE_MS, TimeUnit.MILLISECONDS);
         }
         respond(slot, error.line());
     }
 
-    private void endPause(long begunUs) {
+    private void endPauseAfterError(long pauseBegunUs) {
         pausedAfterError = false;
-        // what came meanwhile has waited in the kernel
-        undecodedSinceUs = undecodedSinceUs == 0 ? begunUs : Math.min(undecodedSinceUs, begunUs);
+        // input that arrived during the pause has waited in the kernel
+        undecodedSinceUs = undecodedSinceUs == 0 ? pauseBegunUs : Math.min(undecodedSinceUs, pauseBegunUs);
         connections.clock().scheduleAfterRead(() -> undecodedSinceUs = decodingSuspended ? undecodedSinceUs : 0);
         awaitTurnIfSuspended();
         updateReading();
     }
 
-    /** Rejects the first request and closes: the proxy has no capacity for this connection. */
+    /** Makes the session reject its first request and close, because the proxy has no capacity for it. */
     void rejectRequests() {
         rejectsRequests = true;
     }
 
-    /** Sends an error line behind what is still to be answered, and closes. */
+    /** Sends an error line after all pending responses, then closes. */
     public void failConnection(String line) {
         ResponseSlot slot = new ResponseSlot();
         slots.add(slot);
         closesAfterResponses = true;
-        ignoresInput = true; // still read, so that its close is noticed
+        ignoresInput = true; // reading goes on, to detect that the client closes
         respond(slot, line);
     }
 
-    /** Discards the value that is coming, to give its budget to others; false where none is. */
+    /** Discards the incoming value to free its share of the byte budget; false if there is none. */
     boolean discardValue() {
         if (!decoder.discardBlock()) {
             return false;
@@ -326,29 +327,30 @@
             channel.flush();
         }
         if (!decodingSuspended) {
-            undecodedSinceUs = 0; // what is left is an incomplete command, the rest of which has not arrived
+            undecodedSinceUs = 0; // only an incomplete command is left, whose remainder has not arrived
         }
         updateReading();
-        boolean reading = !ignoresInput && channel.config().isAutoRead(); // else the proxy itself holds what is missing
-        connections.limiter().readCompleted(this, reading && decoder.isInsideMessage(), commandCompleted);
+        // while reading is suspended, the proxy itself keeps the rest of a command unread
+        boolean readingActive = !ignoresInput && channel.config().isAutoRead();
+        connections.limiter().readCompleted(this, readingActive && decoder.isInsideMessage(), commandCompleted);
         commandCompleted = false;
-        if (restCheckDue) {
-            checkRest();
+        if (idleCheckDue) {
+            checkIdle();
         }
     }
 
-    /** Bounds memory: a client that sends without end or does not read its responses is not read from. */
+    /** Bounds memory: suspends reading from a client that sends endlessly or does not read its responses. */
     private void updateReading() {
-        boolean hasRoom = !closesAfterResponses && slots.size() < MAX_UNANSWERED && channel.isWritable();
-        boolean reads = !pausedAfterError && !framingLost && !decodingSuspended && (ignoresInput || hasRoom);
-        channel.config().setAutoRead(reads);
-        if (reads) {
+        boolean hasCapacity = !closesAfterResponses && slots.size() < MAX_UNANSWERED && channel.isWritable();
+        boolean autoRead = !pausedAfterError && !framingLost && !decodingSuspended && (ignoresInput || hasCapacity);
+        channel.config().setAutoRead(autoRead);
+        if (autoRead) {
             stopFarReadAhead();
         }
         scheduleCloseCheck();
     }
 
-    /** While reading is suspended and a request waits or may come, reads a little from time to time to find a close. */
+    /** While reading is suspended and a request is or may be pending, reads a little at times to detect a close. */
     private void scheduleCloseCheck() {
         if (closeCheckScheduled || channel.config().isAutoRead() || !hasOrMayHaveRequest()) {
             return;
@@ -384,7 +386,7 @@
         }
     }
 
-    /** Reads what has arrived but was not read yet. */
+    /** Reads what has arrived on the socket but was not read yet. */
     void readArrived() {
         SocketReadiness.readNow(channel);
     }
@@ -396,7 +398,7 @@
 
     // ---- responses ----
 
-    /** Responds with a line that is replaced by a failure should it be written after {@code validUntilUs}. */
+    /** Responds with a line that is replaced by a failure if it is written after {@code validUntilUs}. */
     public void respond(ResponseSlot slot, String line, long validUntilUs) {
         slot.validUntilUs(validUntilUs);
         respond(slot, line);
@@ -407,8 +409,8 @@
     }
 
     /**
-     * Gives a slot its one response, written once those before it are; a second one is ignored. Takes ownership of the
-     * buffer.
+     * Sets the one response of a slot, which is written after those of all earlier slots. A second response is ignored.
+     * Takes ownership of the buffer.
      */
     public void respond(ResponseSlot slot, ByteBuf response) {
         if (slot.hasResponse() || !channel.isActive()) {
@@ -423,7 +425,7 @@
         }
         if (writeReadyResponses()) {
             if (inRead) {
-                flushDue = true; // one flush for all that this read brings
+                flushDue = true; // flush once for all responses of this read
             } else {
                 channel.flush();
             }
@@ -435,7 +437,7 @@
                 channel.eventLoop()
                         .schedule(this::closeAfterLostFraming, PROTOCOL_ERROR_PAUSE_MS, TimeUnit.MILLISECONDS);
             } else {
-                checkRest();
+                checkIdle();
             }
         }
     }
@@ -443,10 +445,10 @@
     private boolean writeReadyResponses() {
         boolean written = false;
         while (!slots.isEmpty() && slots.peek().hasResponse()) {
-            ByteBuf next = stillValid(slots.poll());
-            int size = next.readableBytes();
+            ByteBuf response = stillValid(slots.poll());
+            int size = response.readableBytes();
             unwrittenBytes += size;
-            channel.write(next).addListener(future -> {
+            channel.write(response).addListener(future -> {
                 unwrittenBytes -= size;
                 connections.addUnwrittenResponseBytes(-size);
             });
@@ -472,38 +474,38 @@
 
     // ---- closing ----
 
-    /** Closes the connection once it has nothing to answer; until then it is read on. */
+    /** Closes the connection once it has no unanswered request; until then it is still read. */
     void drain() {
         draining = true;
         if (slots.isEmpty()) {
-            checkRest();
+            checkIdle();
         }
     }
 
     /**
-     * Everything is answered: closes the connection if it is to be closed, else it is idle. Commands that were read but
-     * not decoded yet were accepted, and are answered first.
+     * Called when every request is answered: closes the connection if that is due, otherwise marks it idle. Commands
+     * that were read but not decoded yet count as accepted, and are answered first.
      */
-    private void checkRest() {
-        restCheckDue = inRead || decodingSuspended && !ignoresInput;
-        if (!slots.isEmpty() || restCheckDue) {
+    private void checkIdle() {
+        idleCheckDue = inRead || decodingSuspended && !ignoresInput;
+        if (!slots.isEmpty() || idleCheckDue) {
             return;
         }
         if (draining && !finalReadDone) {
             finalReadDone = true;
-            readArrived(); // a command that has arrived would go unanswered
-            checkRest();
+            readArrived(); // else a command that has already arrived would go unanswered
+            checkIdle();
         } else if (closesAfterResponses || draining && (ignoresInput || !decoder.isInsideMessage())) {
             closeOutput();
         } else if (draining) {
             finalReadDone = false;
-            connections.limiter().readCompleted(this, true, false); // bounds the wait for the command's end
+            connections.limiter().readCompleted(this, true, false); // starts the timeout for the rest of the command
         } else {
             connections.connectionIdle(this);
         }
     }
 
-    /** Closes the connection now, whatever is open on it. */
+    /** Closes the connection now, even with unanswered requests. */
     public void closeImmediately() {
         close(CloseReason.IDLE);
     }
@@ -516,10 +518,10 @@
     }
 
     /**
-     * Closes a connection that rests; false where it has just sent something. Closed over unread bytes it would be
-     * reset, and what was requested would go unanswered.
+     * Closes the connection if it is idle; returns false if the client has just sent something. Closing with unread
+     * bytes would reset the connection and leave those requests unanswered.
      */
-    boolean closeIfResting() {
+    boolean closeIfIdle() {
         readArrived();
         if (!slots.isEmpty()) {
             return false;
@@ -529,8 +531,8 @@
     }
 
     /**
-     * Closes the output, and the connection when the client has closed its side or was given time to. Closed with bytes
-     * unread it would be reset by the kernel, and the reset may overtake the last response.
+     * Closes the output, then the connection when the client has closed its side or has had time to. If bytes were
+     * unread at the close, the kernel would send a reset, which may overtake the last response.
      */
     private void closeOutput() {
         if (outputClosed || !channel.isActive()) {
@@ -549,12 +551,12 @@
         cutOffSlowReader(unwrittenBytes);
     }
 
-    /** What was requested before the framing was lost is still delivered, also to a client that reads slowly. */
+    /** Responses to requests before the lost framing are still delivered, even to a client that reads slowly. */
     private void closeAfterLostFraming() {
         if (!channel.isActive()) {
             return;
         }
-        readArrived(); // closing over unread bytes would be a reset
+        readArrived(); // closing with unread bytes would send a reset
         if (unwrittenBytes > 0) {
             closeOutput();
         } else {
@@ -562,11 +564,11 @@
         }
     }
 
-    /** Closes a client that takes nothing of its last responses; one on a slow link goes on as long as it reads. */
-    private void cutOffSlowReader(long unwrittenBefore) {
-        if (unwrittenBefore > 0) {
+    /** Closes a client that reads nothing of its last responses; a slow link is fine as long as it makes progress. */
+    private void cutOffSlowReader(long previouslyUnwrittenBytes) {
+        if (previouslyUnwrittenBytes > 0) {
             Runnable check = () -> {
-                if (unwrittenBytes < unwrittenBefore) {
+                if (unwrittenBytes < previouslyUnwrittenBytes) {
                     cutOffSlowReader(unwrittenBytes);
                 } else {
                     close(CloseReason.READS_TOO_SLOWLY);
@@ -593,7 +595,7 @@
 
     @Override
     public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
-        closeOnError(cause); // a broken client connection affects no other
+        closeOnError(cause); // an error on one client connection must not affect others
     }
 
     private void closeOnError(Throwable cause) {
--- a/proxy/src/main/java/cacheproxy/client/CloseReason.java
+++ b/proxy/src/main/java/cacheproxy/client/CloseReason.java
@@ -2,12 +2,12 @@
 
 /** Why this process closed a client connection, for the log. */
 enum CloseReason {
-    RESPONSES_NOT_READ("its responses are not read"),
-    FRAMING_LOST("its input can no longer be decoded"),
-    CLOSED_AFTER_LAST_RESPONSE("closed after its last response"),
-    READS_TOO_SLOWLY("reads nothing of its last response"),
-    IDLE("idle, and its descriptor or the process's end asks for it"),
-    ERROR("an error on the connection");
+    RESPONSES_NOT_READ("too many unwritten response bytes in the proxy"),
+    FRAMING_LOST("protocol framing lost, further input cannot be decoded"),
+    CLOSED_AFTER_LAST_RESPONSE("last response sent"),
+    READS_TOO_SLOWLY("client reads nothing of its last responses"),
+    IDLE("idle, closed to free its descriptor or for shutdown"),
+    ERROR("connection error");
 
     final String text;
 
--- a/proxy/src/main/java/cacheproxy/client/ConnectionLimiter.java
+++ b/proxy/src/main/java/cacheproxy/client/ConnectionLimiter.java
@@ -8,19 +8,19 @@
 import java.util.Set;
 
 /**
- * Decides which client connections stay: at most so many, and none that sends nothing or stops inside a command. One
- * periodic sweep looks at the oldest of each kind; a read timeout for each connection would be renewed by every single
- * byte.
+ * Decides which client connections stay open: limits their number, and closes those that send nothing or stop in the
+ * middle of a command. One periodic sweep checks the oldest of each kind. A read timeout per connection would not do,
+ * because every single byte would restart it.
  */
 final class ConnectionLimiter {
-    /** A client is owed an error or a close within 3 s of connecting; the sweep and a stall take the rest. */
+    /** Clients must get an error or a close within 3 s of connecting; the rest is left for the sweep and a stall. */
     private static final long FIRST_COMMAND_TIMEOUT_US = 2_000_000;
 
-    /** The same for a command that has begun. */
+    /** Same bound for a command that has begun; see {@link #FIRST_COMMAND_TIMEOUT_US}. */
     private static final long COMMAND_TIMEOUT_US = 2_000_000;
 
     private static final long IDLE_TIMEOUT_US = 10_000_000;
-    /** How long a connection that was used once stays idle while established connections are scarce. */
+    /** Idle timeout of connections that were used once, while there are too many established connections. */
     private static final long SCARCE_IDLE_TIMEOUT_US = 80_000;
 
     private static final long SWEEP_INTERVAL_US = 200_000;
@@ -31,15 +31,15 @@
     private final int maxEstablished;
     private boolean trimScheduled;
     private final Set<ClientSession> all = new LinkedHashSet<>();
-    /** Those that have not sent a complete valid command yet, oldest first: the first to be closed for others. */
+    /** Connections without a complete valid command yet, oldest first; the first to be closed to make room. */
     private final Set<ClientSession> unestablished = new LinkedHashSet<>();
-    /** Those between requests, the longest idle first; of them, those that have been used only once. */
+    /** Connections between requests, longest idle first; the second set holds those that were used only once. */
     private final Set<ClientSession> idle = new LinkedHashSet<>();
 
     private final Set<ClientSession> idleUsedOnce = new LinkedHashSet<>();
-    /** Those being closed to make room; their descriptors count until they are closed. */
+    /** Connections being closed to make room. Their descriptors count until they are closed. */
     private final Set<ClientSession> closing = new HashSet<>();
-    /** Those inside a command, in the order in which it began. */
+    /** Connections in the middle of a command, in the order in which the commands began. */
     private final Set<ClientSession> insideCommand = new LinkedHashSet<>();
 
     ConnectionLimiter(ClientConnections connections, EventLoopClock clock, int maxConnections, int maxEstablished) {
@@ -56,18 +56,18 @@
         if (all.size() > maxConnections && !makeRoom()) {
             session.rejectRequests();
             if (all.size() > maxConnections + ClientConnections.MAX_REJECTING) {
-                session.closeImmediately(); // descriptors: not even an endpoint could be connected to any more
+                session.closeImmediately(); // else no descriptor would be left to connect to endpoints
                 return;
             }
         }
         unestablished.add(session);
     }
 
-    /** Closes a connection that rests; those that never sent a command go first. */
+    /** Closes an idle connection; those that never sent a command are closed first. */
     private boolean makeRoom() {
         for (ClientSession session = firstToClose(); session != null; session = firstToClose()) {
-            if (session.closeIfResting()) {
-                closed(session); // at once: the next new connection of a burst must find another one to close
+            if (session.closeIfIdle()) {
+                closed(session); // deregister at once: the next connection of a burst must not pick the same one
                 return true;
             }
             unestablished.remove(session);
@@ -84,19 +84,20 @@
         return usedOnce != null ? usedOnce : first(idle);
     }
 
-    /** It has sent a complete valid command. */
+    /** Called when the session has sent its first complete valid command. */
     void established(ClientSession session) {
         unestablished.remove(session);
     }
 
     void busy(ClientSession session) {
-        session.cameBack |= idle.remove(session);
+        session.reused |= idle.remove(session);
         idleUsedOnce.remove(session);
     }
 
     /**
-     * It has nothing to answer, perhaps for good. Clients may open only so many connections, and those that send one
-     * request and stay would leave none for others long before the proxy's own bound is reached.
+     * Called when the session has no unanswered request, and may never send another. Only a limited number of client
+     * connections can be established; ones that send one request and stay open would use them up long before the
+     * proxy's own limit is reached.
      */
     void idle(ClientSession session) {
         session.idleSinceUs = clock.nowUs();
@@ -105,12 +106,12 @@
             return;
         }
         idle.add(session);
-        if (!session.cameBack) {
+        if (!session.reused) {
             idleUsedOnce.add(session);
         }
         if (hasTooManyEstablished() && !trimScheduled) {
             trimScheduled = true;
-            clock.schedule(0, this::trim); // not at once: the decoder may hold more of what was just read
+            clock.schedule(0, this::trim); // deferred: the decoder may still hold commands of the current read
         }
     }
 
@@ -118,7 +119,7 @@
         return all.size() - unestablished.size() - closing.size() > maxEstablished;
     }
 
-    /** Spares connections that came back: a new connection for each request costs more than this frees. */
+    /** Spares connections that were reused: a new connection per request would cost more than this frees. */
     private void trim() {
         trimScheduled = false;
         long now = clock.nowUs();
@@ -136,18 +137,18 @@
         idleUsedOnce.remove(session);
     }
 
-    /** After each read: whether a command has begun and not ended, and whether one before it was completed. */
-    void readCompleted(ClientSession session, boolean inside, boolean completedOne) {
-        if (!inside || completedOne) {
+    /** Called after each read: whether it ended inside a command, and whether it completed a command. */
+    void readCompleted(ClientSession session, boolean endedInsideCommand, boolean commandCompleted) {
+        if (!endedInsideCommand || commandCompleted) {
             insideCommand.remove(session);
         }
-        if (inside && insideCommand.add(session)) {
+        if (endedInsideCommand && insideCommand.add(session)) {
             session.commandBegunUs = clock.nowUs();
         }
     }
 
-    /** Discards the value that has been coming for longest; false where no value is coming. */
-    boolean reclaimSlowestValue() {
+    /** Discards the incoming value whose command began first; false if no value is incoming. */
+    boolean discardLongestIncomingValue() {
         for (ClientSession session : insideCommand) {
             if (session.discardValue()) {
                 insideCommand.remove(session);
@@ -174,11 +175,11 @@
     }
 
     private void sweep() {
-        clock.schedule(SWEEP_INTERVAL_US, this::sweep); // first: a fault below must not end the sweeps
+        clock.schedule(SWEEP_INTERVAL_US, this::sweep); // first, so that an exception below does not end the sweeps
         trim();
         long now = clock.nowUs();
         logStuck(now);
-        failUnendedCommands(now);
+        failIncompleteCommands(now);
         closeWithoutCommand(now);
         closeIdle(now);
     }
@@ -191,7 +192,7 @@
         connections.logStuck(stuck);
     }
 
-    private void failUnendedCommands(long now) {
+    private void failIncompleteCommands(long now) {
         for (ClientSession session = first(insideCommand);
                 session != null && now - session.commandBegunUs > COMMAND_TIMEOUT_US;
                 session = first(insideCommand)) {
@@ -207,7 +208,7 @@
                 session != null && now - session.openedUs > FIRST_COMMAND_TIMEOUT_US;
                 session = first(unestablished)) {
             unestablished.remove(session);
-            session.closeIfResting();
+            session.closeIfIdle();
         }
     }
 
@@ -221,7 +222,7 @@
     }
 
     private static ClientSession first(Set<ClientSession> sessions) {
-        Iterator<ClientSession> i = sessions.iterator();
-        return i.hasNext() ? i.next() : null;
+        Iterator<ClientSession> iterator = sessions.iterator();
+        return iterator.hasNext() ? iterator.next() : null;
     }
 }
--- a/proxy/src/main/java/cacheproxy/client/ResponseSlot.java
+++ b/proxy/src/main/java/cacheproxy/client/ResponseSlot.java
@@ -2,11 +2,11 @@
 
 import io.netty.buffer.ByteBuf;
 
-/** The place of one request's response in the order of a connection's responses. */
+/** The position of one request's response in the ordered responses of a connection. */
 public final class ResponseSlot {
     private ByteBuf response;
     private ClientRequest request;
-    /** Written later than this, the response is replaced by a failure. */
+    /** A response written after this time is replaced by a failure. */
     private long validUntilUs = Long.MAX_VALUE;
 
     boolean hasResponse() {
@@ -17,13 +17,13 @@
         return response;
     }
 
-    /** The open request that it waits for; null for none. */
+    /** The open request whose response is pending; null if there is none. */
     ClientRequest request() {
         return request;
     }
 
-    void request(ClientRequest open) {
-        request = open;
+    void request(ClientRequest openRequest) {
+        request = openRequest;
     }
 
     long validUntilUs() {
--- a/proxy/src/main/java/cacheproxy/client/package-info.java
+++ b/proxy/src/main/java/cacheproxy/client/package-info.java
@@ -1,6 +1,5 @@
 /**
- * Connections from clients: reading commands fairly, answering them in order, and deciding which connections may stay.
- * Everything runs on the event loop. What becomes of a request is the {@link cacheproxy.client.RequestHandler}'s
- * affair.
+ * Client connections: reads commands fairly, answers them in order, and decides which connections stay open. Everything
+ * runs on the event loop. Requests are handled by {@link cacheproxy.client.RequestHandler}.
  */
 package cacheproxy.client;
--- a/proxy/src/main/java/cacheproxy/server/ClientListener.java
+++ b/proxy/src/main/java/cacheproxy/server/ClientListener.java
@@ -18,16 +18,16 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Accepts client connections, and ends accepting at shutdown: it goes on for a while, then closes each connection once
- * it is answered. Lives on the event loop.
+ * Accepts client connections. At shutdown it goes on accepting for a while, then closes each connection once its
+ * requests are answered. Used on the event loop only.
  */
 final class ClientListener {
     private static final int BACKLOG = 512;
-    /** After a restart the process before may hold the address a moment longer. */
+    /** After a restart the previous process may hold the address a moment longer, so binding is retried. */
     private static final int MAX_BIND_ATTEMPTS = 30;
 
     private static final int BIND_RETRY_MS = 100;
-    /** Rounds of accepting what had arrived before the shutdown; each takes at least 2 ms. */
+    /** Rounds of accepting connections that arrived before the shutdown; each round takes at least 2 ms. */
     private static final int MAX_ACCEPT_ROUNDS = 50;
 
     private final ClientConnections clients;
@@ -58,7 +58,7 @@
         drained = loop.newPromise();
     }
 
-    /** Listens; fails where the address cannot be bound. Never done where the shutdown begins before. */
+    /** Starts listening; fails if the address cannot be bound. Never completes if the shutdown begins first. */
     Future<Void> open() {
         if (draining) {
             return open;
@@ -112,23 +112,24 @@
     }
 
     /**
-     * Accepts connections for {@code acceptMs} more, then closes all once they are answered; done when none is left.
+     * Accepts connections for another {@code acceptMs}, then closes each once its requests are answered. Completes when
+     * no connection is left.
      */
     Future<Void> drain(long acceptMs) {
         draining = true;
         if (!open.isSuccess()) {
-            return drained.setSuccess(null); // no client has connected
+            return drained.setSuccess(null); // not listening yet, so no client has connected
         }
         loop.schedule(this::stopAccepting, acceptMs, TimeUnit.MILLISECONDS);
         return drained;
     }
 
-    /** The kernel has accepted what arrived during a stall of the loop; each round takes a few of these. */
+    /** Stops once a round accepts no connection: after a stall the kernel holds many, and a round takes only a few. */
     private void stopAccepting() {
         int acceptedBefore = accepted;
         clock.scheduleAfterRead(() -> {
             if (accepted != acceptedBefore && acceptRounds++ < MAX_ACCEPT_ROUNDS) {
-                stopAccepting(); // closed now, those that are not accepted yet would be reset with their requests
+                stopAccepting(); // closing the listener now would reset the connections that are not accepted yet
             } else {
                 channel.close();
                 clock.scheduleAfterRead(this::closeAll);
--- a/proxy/src/main/java/cacheproxy/server/ConfigurationReloader.java
+++ b/proxy/src/main/java/cacheproxy/server/ConfigurationReloader.java
@@ -14,14 +14,14 @@
 import java.util.function.Consumer;
 
 /**
- * Reloads the configuration on SIGHUP or by the control channel, and reports the result to whoever requested. Reading a
- * file may block, so a thread of its own does it, one file after the other: of two reloads close together the later
- * file wins. Methods may be called on any thread.
+ * Reloads the configuration on SIGHUP or on request of the control channel, and reports the result to the requester.
+ * Reading a file may block, so a dedicated thread does it, one reload at a time: of two reloads close together the
+ * later file wins. Methods may be called on any thread.
  */
 final class ConfigurationReloader {
     private static final int MAX_QUEUED_SIGNALS = 2;
 
-    /** The result of a reload; {@code refused} is the reason, null where the configuration was applied. */
+    /** The result of a reload; {@code refused} is the reason for refusing it, null if the configuration was applied. */
     record Result(int generation, String digest, String refused, List<String> needRestart) {}
 
     private final Map<String, String> env;
@@ -30,15 +30,15 @@
     private final Consumer<ProxyConfiguration> target;
     private Result last;
     private Result lastRefused;
-    private final ExecutorService reader =
-            new ThreadPoolExecutor(0, 1, 10, TimeUnit.SECONDS, new LinkedBlockingQueue<>(), r -> {
-                Thread t = new Thread(r, "reload");
-                t.setDaemon(true); // a file that cannot be read to its end must not keep the process running
-                return t;
+    private final ExecutorService executor =
+            new ThreadPoolExecutor(0, 1, 10, TimeUnit.SECONDS, new LinkedBlockingQueue<>(), task -> {
+                Thread thread = new Thread(task, "reload");
+                thread.setDaemon(true); // a read that never ends must not keep the process running
+                return thread;
             });
     private int queuedSignals;
-    /** Callers whose reload has not begun. */
-    private List<Consumer<Result>> requested = new ArrayList<>();
+    /** Callbacks of reload requests whose reload has not begun. */
+    private List<Consumer<Result>> pendingCallbacks = new ArrayList<>();
 
     /**
      * @param started the configuration that the proxy started with
@@ -53,7 +53,7 @@
         last = new Result(1, started.digest(), null, List.of());
     }
 
-    /** Reloads after a signal; further signals while one is queued would read the same file. */
+    /** Reloads after a signal; ignored while enough signals are queued, since they would read the same file. */
     void request() {
         synchronized (this) {
             if (queuedSignals >= MAX_QUEUED_SIGNALS) {
@@ -61,7 +61,7 @@
             }
             queuedSignals++;
         }
-        reader.execute(() -> {
+        executor.execute(() -> {
             synchronized (this) {
                 queuedSignals--;
             }
@@ -69,33 +69,33 @@
         });
     }
 
-    /** Reloads and passes the result to {@code then}, on the reload thread. */
-    void reload(Consumer<Result> then) {
+    /** Reloads and passes the result to {@code callback} on the reload thread; pending requests share one reload. */
+    void reload(Consumer<Result> callback) {
         synchronized (this) {
-            requested.add(then);
-            if (requested.size() > 1) {
+            pendingCallbacks.add(callback);
+            if (pendingCallbacks.size() > 1) {
                 return;
             }
         }
-        reader.execute(this::reloadRequested);
+        executor.execute(this::reloadRequested);
     }
 
     private void reloadRequested() {
-        List<Consumer<Result>> now;
+        List<Consumer<Result>> callbacks;
         synchronized (this) {
-            now = requested;
-            requested = new ArrayList<>();
+            callbacks = pendingCallbacks;
+            pendingCallbacks = new ArrayList<>();
         }
         Result result = read();
-        now.forEach(then -> then.accept(result));
+        callbacks.forEach(callback -> callback.accept(result));
     }
 
-    /** The configuration in use. */
+    /** The reload that produced the configuration in use. */
     synchronized Result last() {
         return last;
     }
 
-    /** The last refused configuration; null for none. */
+    /** The last refused reload; null if there was none. */
     synchronized Result lastRefused() {
         return lastRefused;
     }
@@ -105,16 +105,16 @@
         try {
             String text = ProxyConfiguration.readFile(env);
             digest = ProxyConfiguration.digest(env, text);
-            List<String> fixed = apply(ProxyConfiguration.reload(env, text), started, log, target);
+            List<String> changedFields = apply(ProxyConfiguration.reload(env, text), started, log, target);
             synchronized (this) {
-                last = new Result(last.generation + 1, digest, null, fixed);
+                last = new Result(last.generation + 1, digest, null, changedFields);
                 return last;
             }
-        } catch (RuntimeException | Error e) {
-            String why = e instanceof InvalidInputException ? e.getMessage() : e.toString();
-            log.line("the new configuration is not taken, the old one stays: " + why);
+        } catch (RuntimeException | Error failure) {
+            String reason = failure instanceof InvalidInputException ? failure.getMessage() : failure.toString();
+            log.line("the new configuration is not taken, the old one stays: " + reason);
             synchronized (this) {
-                lastRefused = new Result(last.generation, digest, why, List.of());
+                lastRefused = new Result(last.generation, digest, reason, List.of());
                 return lastRefused;
             }
         }
@@ -122,11 +122,14 @@
 
     /** Applies a valid configuration; returns the fields whose change needs a restart. */
     static List<String> apply(
-            ProxyConfiguration next, ProxyConfiguration started, Log log, Consumer<ProxyConfiguration> target) {
-        target.accept(next);
-        List<String> fixed = started.differences(next);
-        log.line("configuration taken: discovery at " + NetUtil.toSocketAddressString(next.discovery)
-                + (fixed.isEmpty() ? "" : "; needs a restart: " + String.join(", ", fixed)));
-        return fixed;
+            ProxyConfiguration newConfiguration,
+            ProxyConfiguration started,
+            Log log,
+            Consumer<ProxyConfiguration> target) {
+        target.accept(newConfiguration);
+        List<String> changedFields = started.differences(newConfiguration);
+        log.line("configuration taken: discovery at " + NetUtil.toSocketAddressString(newConfiguration.discovery)
+                + (changedFields.isEmpty() ? "" : "; needs a restart: " + String.join(", ", changedFields)));
+        return changedFields;
     }
 }
--- a/proxy/src/main/java/cacheproxy/server/ControlChannel.java
+++ b/proxy/src/main/java/cacheproxy/server/ControlChannel.java
@@ -20,15 +20,15 @@
 
 /**
  * The control channel of one proxy, off unless {@code LB_CONTROL} names its socket. While it is on, the process holds a
- * lock on the proxy's name, in a file beside the socket. It has an event loop of its own, and asks the proxy's loop for
- * its status at most every 100 ms.
+ * lock on the proxy's name, in a file next to the socket. It has its own event loop, and requests the status from the
+ * proxy's event loop at most every 100 ms.
  *
- * <p>Operations: {@code hello} with a {@code nonce} proves the identity by {@code LB_SECRET}; {@code status},
- * {@code reload}, {@code drain}. The keys of the replies are the channel's protocol.
+ * <p>Operations: {@code hello} with a {@code nonce}, which proves the identity by {@code LB_SECRET}; {@code status},
+ * {@code reload} and {@code drain}. The keys of the replies are part of the protocol.
  */
 final class ControlChannel implements ControlServer.RequestHandler {
     private static final long STATUS_TTL_MS = 100;
-    /** After so long without a reply of the proxy's event loop the status is {@code stalled}. */
+    /** If the proxy's event loop does not reply for this long, the status is {@code stalled}. */
     private static final long STALLED_AFTER_MS = 800;
 
     private static final long PROGRESS_INTERVAL_MS = 200;
@@ -40,17 +40,17 @@
     private final ControlServer server;
     private final InstanceLock lock;
     private final Map<String, Object> identity;
-    private final List<ControlServer.Reply> waiting = new ArrayList<>();
-    private final List<ControlServer.Reply> draining = new ArrayList<>();
+    private final List<ControlServer.Reply> pendingStatus = new ArrayList<>();
+    private final List<ControlServer.Reply> pendingDrains = new ArrayList<>();
     private volatile ProxyServer proxy;
     private volatile EventLoop proxyLoop;
     private volatile ConfigurationReloader reload;
     private volatile Runnable drain;
-    private Map<String, Object> state = Map.of();
+    private Map<String, Object> lastStatus = Map.of();
     private long statusAtNs;
     private boolean statusRequested;
     private long statusRequestedNs;
-    private boolean progressing;
+    private boolean progressScheduled;
 
     private ControlChannel(Map<String, String> env, Path path) {
         name = FieldReader.variable(env, "LB_NAME");
@@ -71,7 +71,7 @@
         server = ControlServer.open(loop, path, this);
     }
 
-    /** Opens the channel; called where {@link ProxyConfiguration#controlled} says so. */
+    /** Opens the channel; called only if {@link ProxyConfiguration#controlled} is true. */
     static ControlChannel open(Map<String, String> env) {
         String text = FieldReader.variable(env, ProxyConfiguration.CONTROL_VARIABLE);
         Path path;
@@ -88,25 +88,25 @@
     }
 
     /** Sets the proxy whose status is reported. */
-    void attach(ProxyServer served, EventLoop servedLoop) {
-        proxyLoop = servedLoop;
-        proxy = served;
+    void attach(ProxyServer attachedProxy, EventLoop attachedLoop) {
+        proxyLoop = attachedLoop;
+        proxy = attachedProxy;
     }
 
     void reloadWith(ConfigurationReloader reloader) {
         reload = reloader;
     }
 
-    /** Sets what begins the graceful shutdown; it must not block. */
+    /** Sets the task that begins the graceful shutdown; it must not block. */
     void drainWith(Runnable task) {
         drain = task;
     }
 
-    /** The process is about to end: replies to those who wait for it. */
+    /** Replies to all pending drain requests, because the process is about to end. */
     void notifyDrained(boolean all) {
         Future<?> replied = loop.submit(() -> {
-            draining.forEach(r -> r.end(Map.of("done", true, "all", all)));
-            draining.clear();
+            pendingDrains.forEach(r -> r.end(Map.of("done", true, "all", all)));
+            pendingDrains.clear();
         });
         replied.awaitUninterruptibly(LAST_REPLY_TIMEOUT_MS, TimeUnit.MILLISECONDS);
         loop.submit(server::close).awaitUninterruptibly(LAST_REPLY_TIMEOUT_MS, TimeUnit.MILLISECONDS);
@@ -132,19 +132,19 @@
         if (proxy == null) {
             reply(reply, Map.of("phase", "starting"));
         } else if (System.nanoTime() - statusAtNs < TimeUnit.MILLISECONDS.toNanos(STATUS_TTL_MS)) {
-            reply(reply, state);
+            reply(reply, lastStatus);
         } else {
-            waiting.add(reply);
+            pendingStatus.add(reply);
             requestStatus();
             replyIfStalled();
         }
     }
 
-    /** Replies {@code stalled} to those who wait, where the proxy's loop has been silent for too long. */
+    /** Replies {@code stalled} to pending status requests if the proxy's event loop has not replied for too long. */
     private void replyIfStalled() {
-        long silentMs = TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - statusRequestedNs);
-        if (statusRequested && silentMs >= STALLED_AFTER_MS) {
-            replyToAll(Map.of("phase", "stalled", "stalledMs", silentMs));
+        long unresponsiveMs = TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - statusRequestedNs);
+        if (statusRequested && unresponsiveMs >= STALLED_AFTER_MS) {
+            replyToAll(Map.of("phase", "stalled", "stalledMs", unresponsiveMs));
         }
     }
 
@@ -154,13 +154,13 @@
         }
         statusRequested = true;
         statusRequestedNs = System.nanoTime();
-        Future<Map<String, Object>> answer = proxyLoop.submit(proxy::status);
-        answer.addListener(f -> loop.execute(() -> {
+        Future<Map<String, Object>> statusFuture = proxyLoop.submit(proxy::status);
+        statusFuture.addListener(f -> loop.execute(() -> {
             statusRequested = false;
             if (f.isSuccess()) {
-                state = answer.getNow();
+                lastStatus = statusFuture.getNow();
                 statusAtNs = System.nanoTime();
-                replyToAll(state);
+                replyToAll(lastStatus);
             } else {
                 replyToAll(Map.of("phase", "faulty", "fault", String.valueOf(f.cause())));
             }
@@ -169,8 +169,8 @@
     }
 
     private void replyToAll(Map<String, Object> what) {
-        waiting.forEach(r -> reply(r, what));
-        waiting.clear();
+        pendingStatus.forEach(r -> reply(r, what));
+        pendingStatus.clear();
     }
 
     private void reply(ControlServer.Reply reply, Map<String, Object> what) {
@@ -220,25 +220,25 @@
             reply.fail("it has not started yet");
             return;
         }
-        draining.add(reply);
+        pendingDrains.add(reply);
         task.run();
-        if (!progressing) {
-            progressing = true;
+        if (!progressScheduled) {
+            progressScheduled = true;
             progress();
         }
     }
 
     private void progress() {
-        draining.removeIf(r -> !r.isOpen());
-        if (draining.isEmpty()) {
-            progressing = false;
+        pendingDrains.removeIf(r -> !r.isOpen());
+        if (pendingDrains.isEmpty()) {
+            progressScheduled = false;
             return;
         }
         Future<Map<String, Object>> now = proxyLoop.submit(proxy::status);
         now.addListener(f -> loop.execute(() -> {
             if (f.isSuccess()) {
                 Map<String, Object> s = now.getNow();
-                draining.forEach(r -> r.part(Map.of("open", s.get("open"), "clients", s.get("clients"))));
+                pendingDrains.forEach(r -> r.part(Map.of("open", s.get("open"), "clients", s.get("clients"))));
             }
         }));
         loop.schedule(this::progress, PROGRESS_INTERVAL_MS, TimeUnit.MILLISECONDS);
--- a/proxy/src/main/java/cacheproxy/server/EmbeddedProxy.java
+++ b/proxy/src/main/java/cacheproxy/server/EmbeddedProxy.java
@@ -16,12 +16,12 @@
 import java.util.function.UnaryOperator;
 
 /**
- * A complete proxy without a process of its own, for embedding; the lab runs thousands in one JVM. The caller provides
- * the event loop, the sockets and the time, and calls every method on that loop; no thread is started. {@code serve}
- * does not load this class.
+ * A complete proxy without its own process, for embedding; the lab runs thousands in one JVM. The caller provides the
+ * event loop, the sockets and the time, and calls every method on that event loop. No thread is started. The
+ * {@code serve} command does not load this class.
  */
 public final class EmbeddedProxy {
-    /** What the host provides: the event loop, factories of sockets, and the Unix time in milliseconds. */
+    /** What the embedding host provides: the event loop, socket factories, and the Unix time in milliseconds. */
     public record Host(
             EventLoop loop,
             ChannelFactory<? extends Channel> outgoing,
@@ -31,46 +31,46 @@
     private final Map<String, String> env;
     private final Log log;
     private final ProxyServer proxy;
-    private final ProxyConfiguration config;
+    private final ProxyConfiguration configuration;
 
     /**
-     * @param lines receives each log line
-     * @param wrap stands between the proxy and its router in tests; the identity otherwise
+     * @param logLines receives each log line
+     * @param wrap wraps the router in tests; the identity function otherwise
      */
     public EmbeddedProxy(
             Map<String, String> env,
             String json,
             Host host,
-            Consumer<String> lines,
+            Consumer<String> logLines,
             UnaryOperator<RequestRouter> wrap) {
         this.env = env;
-        config = ProxyConfiguration.parse(env, json);
-        log = new Log(() -> host.loop().ticker().nanoTime(), lines);
+        configuration = ProxyConfiguration.parse(env, json);
+        log = new Log(() -> host.loop().ticker().nanoTime(), logLines);
         HostEnvironment environment = new HostEnvironment(host.outgoing(), host.listening(), host.unixMs());
-        proxy = new ProxyServer(config, host.loop(), environment, log, wrap);
+        proxy = new ProxyServer(configuration, host.loop(), environment, log, wrap);
     }
 
-    /** Begins to serve; done once it listens. */
+    /** Starts the proxy; completes once it listens. */
     public Future<Void> begin() {
         return proxy.begin();
     }
 
-    /** The address that it listens on. */
+    /** The address that the proxy listens on. */
     public InetSocketAddress address() {
         return proxy.address();
     }
 
-    /** Shuts down as on SIGTERM; done once all requests are answered and all client connections are closed. */
+    /** Shuts down as on SIGTERM; completes once all requests are answered and all client connections are closed. */
     public Future<Void> end() {
         return proxy.drain(ProxyProcess.DRAIN_OPEN_MS);
     }
 
-    /** Reloads as on SIGHUP, with this text as the configuration file. */
+    /** Reloads as on SIGHUP, with the given text instead of the configuration file. */
     public void reload(String json) {
-        ConfigurationReloader.apply(ProxyConfiguration.parseReload(env, json), config, log, proxy::reload);
+        ConfigurationReloader.apply(ProxyConfiguration.parseReload(env, json), configuration, log, proxy::reload);
     }
 
-    /** What is reserved, by name; all zero when nothing is open. */
+    /** Amounts of reserved resources by name; all zero when no connection or request is open. */
     public Map<String, Long> reserved() {
         return proxy.reserved();
     }
--- a/proxy/src/main/java/cacheproxy/server/EndpointList.java
+++ b/proxy/src/main/java/cacheproxy/server/EndpointList.java
@@ -17,11 +17,11 @@
 import java.util.Set;
 
 /**
- * The endpoints that are listed, with their states. Passes each list on to the connection pools, which need addresses,
- * and to the router, in the order that no attempt goes to an endpoint that has left. Lives on the event loop.
+ * The listed endpoints and their states. Passes each received list to the connection pools, which need the addresses,
+ * and to the router, in such an order that no attempt goes to an endpoint that has left. Used on the event loop only.
  */
 final class EndpointList {
-    /** Endpoints that one log line names. */
+    /** Number of endpoints that one log line names. */
     private static final int MAX_LOGGED = 12;
 
     private final RouterDispatcher router;
@@ -37,15 +37,15 @@
         this.log = log;
     }
 
-    /** Takes a list; of an endpoint that it names twice the later entry counts. */
+    /** Applies a received list; if it names an endpoint twice, the later entry counts. */
     void update(EndpointListKind kind, List<Endpoint> received) {
         Map<Integer, Endpoint> byNumber = new LinkedHashMap<>();
         received.forEach(endpoint -> byNumber.put(endpoint.node().id, endpoint));
         List<String> changes = new ArrayList<>();
         EndpointInfo[] infos = new EndpointInfo[byNumber.size()];
-        int count = 0;
+        int infoCount = 0;
         for (Endpoint endpoint : byNumber.values()) {
-            infos[count++] = endpoint.node();
+            infos[infoCount++] = endpoint.node();
             list(endpoint, changes);
         }
         router.endpointListReceived(kind, infos);
@@ -71,9 +71,9 @@
         }
     }
 
-    private void removeAllBut(Set<Integer> named, List<String> changes) {
+    private void removeAllBut(Set<Integer> listedNumbers, List<String> changes) {
         for (Integer number : List.copyOf(states.keySet())) {
-            if (!named.contains(number)) {
+            if (!listedNumbers.contains(number)) {
                 EndpointPool pool = pools.get(number);
                 recordChange(changes, number, pool == null ? "" : pool.name(), EndpointState.GONE);
                 leave(number, true);
@@ -85,11 +85,11 @@
         pools.leave(number, removed);
         if (removed) {
             states.remove(number);
-            discovery.forget(number); // also one that was never listed: its number would be kept for good
+            discovery.forget(number); // even if it was never listed, else discovery would keep its number forever
         }
     }
 
-    /** Called before {@link #states} changes. */
+    /** Records a state change for the log; must be called before {@link #states} changes. */
     private void recordChange(List<String> changes, int number, String name, EndpointState newState) {
         EndpointState oldState = states.getOrDefault(number, EndpointState.GONE);
         if (newState != oldState) {
@@ -97,7 +97,7 @@
         }
     }
 
-    /** One line for all endpoints whose state has changed, the first of them by name. */
+    /** Logs one line for all endpoints whose state has changed; the first of them are named. */
     private void logChanges(List<String> changes) {
         if (!changes.isEmpty()) {
             int shown = Math.min(MAX_LOGGED, changes.size());
@@ -108,12 +108,12 @@
         }
     }
 
-    /** Whether any endpoint takes requests. */
+    /** Whether any endpoint accepts requests. */
     boolean canServe() {
         return states.containsValue(EndpointState.READY);
     }
 
-    /** How many endpoints are in each state, by the control channel's names for them. */
+    /** The number of endpoints in each state, under the control channel's names for the states. */
     Map<String, Object> countByState() {
         int ready = 0;
         for (EndpointState state : states.values()) {
--- a/proxy/src/main/java/cacheproxy/server/InMemoryChannel.java
+++ b/proxy/src/main/java/cacheproxy/server/InMemoryChannel.java
@@ -15,56 +15,58 @@
 import java.nio.channels.Pipe;
 
 /**
- * A connection within the process, over two pipes: selected, read and written as a socket is, with no address that
- * anybody else could reach. Dialled it is up at once, and its other end is handed a pipeline of its own.
+ * A connection within the process over two pipes. It is selected, read and written like a socket, but has no address
+ * that other processes could reach. Connecting succeeds at once and sets up the pipeline of the accepting end.
  *
- * <p>For small messages that are read as they come: a pipe that is full ends the connection.
+ * <p>Only for small messages that are read promptly: a full pipe fails the connection.
  */
 final class InMemoryChannel extends AbstractNioByteChannel implements DuplexChannel {
-    private static final SocketAddress NOWHERE = InetSocketAddress.createUnresolved("pipe", 0);
+    private static final SocketAddress PIPE_ADDRESS = InetSocketAddress.createUnresolved("pipe", 0);
 
     private final ChannelConfig config = new DefaultChannelConfig(this);
     private final Pipe.SourceChannel source;
     private final Pipe.SinkChannel sink;
-    /** Not dialled yet, or null at the end that was dialled: what the other end is for. */
-    private final ChannelHandler accepts;
+    /** Handler for the pipeline of the accepting end; null if this is the accepting end. */
+    private final ChannelHandler acceptHandler;
 
-    private final InMemoryChannel other;
-    private boolean up;
-    private boolean outputShut;
+    private final InMemoryChannel acceptor;
+    private boolean connected;
+    private boolean outputShutDown;
 
-    private InMemoryChannel(Pipe in, Pipe out, ChannelHandler accepts, InMemoryChannel other) throws IOException {
+    private InMemoryChannel(Pipe in, Pipe out, ChannelHandler acceptHandler, InMemoryChannel acceptor)
+            throws IOException {
         super(null, in.source());
         source = in.source();
         sink = out.sink();
         sink.configureBlocking(false);
-        this.accepts = accepts;
-        this.other = other;
-        up = accepts == null;
+        this.acceptHandler = acceptHandler;
+        this.acceptor = acceptor;
+        connected = acceptHandler == null;
     }
 
-    /** One to be dialled, whatever the address; {@code accepts}: for the pipeline of the other end. */
-    static InMemoryChannel to(ChannelHandler accepts) {
+    /** Creates a channel that can connect to any address; {@code acceptHandler} handles the accepting end. */
+    static InMemoryChannel connectingTo(ChannelHandler acceptHandler) {
         try {
-            Pipe here = Pipe.open();
-            Pipe there = Pipe.open();
-            return new InMemoryChannel(here, there, accepts, new InMemoryChannel(there, here, null, null));
+            Pipe inbound = Pipe.open();
+            Pipe outbound = Pipe.open();
+            return new InMemoryChannel(
+                    inbound, outbound, acceptHandler, new InMemoryChannel(outbound, inbound, null, null));
         } catch (IOException e) {
-            throw new IllegalStateException("no pipe: " + e.getMessage());
+            throw new IllegalStateException("cannot open a pipe: " + e.getMessage());
         }
     }
 
     @Override
     protected boolean doConnect(SocketAddress remote, SocketAddress local) {
-        up = true;
-        other.pipeline().addLast(accepts);
-        eventLoop().register(other);
+        connected = true;
+        acceptor.pipeline().addLast(acceptHandler);
+        eventLoop().register(acceptor);
         return true;
     }
 
     @Override
     protected void doFinishConnect() {
-        throw new UnsupportedOperationException("a pipe is up at once");
+        throw new UnsupportedOperationException("a pipe connects immediately");
     }
 
     @Override
@@ -84,7 +86,7 @@
 
     @Override
     protected long doWriteFileRegion(FileRegion region) {
-        throw new UnsupportedOperationException("no files go here");
+        throw new UnsupportedOperationException("file regions are not supported");
     }
 
     @Override
@@ -92,9 +94,9 @@
         super.doClose();
         source.close();
         sink.close();
-        if (accepts != null && !up) {
-            other.source.close();
-            other.sink.close();
+        if (acceptHandler != null && !connected) {
+            acceptor.source.close();
+            acceptor.sink.close();
         }
     }
 
@@ -115,17 +117,17 @@
 
     @Override
     public boolean isActive() {
-        return up && source.isOpen();
+        return connected && source.isOpen();
     }
 
     @Override
     protected SocketAddress localAddress0() {
-        return NOWHERE;
+        return PIPE_ADDRESS;
     }
 
     @Override
     protected SocketAddress remoteAddress0() {
-        return NOWHERE;
+        return PIPE_ADDRESS;
     }
 
     @Override
@@ -145,7 +147,7 @@
 
     @Override
     public boolean isOutputShutdown() {
-        return outputShut;
+        return outputShutDown;
     }
 
     @Override
@@ -155,7 +157,7 @@
 
     @Override
     public ChannelFuture shutdownOutput(ChannelPromise promise) {
-        outputShut = true;
+        outputShutDown = true;
         try {
             sink.close();
             return promise.setSuccess();
@@ -166,7 +168,7 @@
 
     @Override
     public boolean isShutdown() {
-        return outputShut && isInputShutdown();
+        return outputShutDown && isInputShutdown();
     }
 
     @Override
--- a/proxy/src/main/java/cacheproxy/server/JitWarmUp.java
+++ b/proxy/src/main/java/cacheproxy/server/JitWarmUp.java
@@ -31,45 +31,46 @@
 import java.util.List;
 
 /**
- * Makes the JIT compiler compile the code that serves requests, before the proxy listens: a second proxy on the same
- * event loop, with the same settings and a router of its own, serves generated clients from generated endpoints.
- * Without it the first burst of requests is interpreted, at some 5 ms of a processor each, and times out.
+ * Makes the JIT compiler compile the request path before the proxy listens: a second proxy on the same event loop, with
+ * the same settings and its own router, serves generated clients from stand-in endpoints. Without it the first burst of
+ * requests is interpreted, at about 5 ms of CPU time each, and times out.
  *
- * <p>The connections are pipes ({@link InMemoryChannel}): the code that selects, reads and writes is nearly the same as
- * for sockets, and the proxy listens on no other address than its own. Unix domain sockets are not available
- * everywhere. Nothing of it reaches discovery, an endpoint or the log.
+ * <p>The connections are pipes ({@link InMemoryChannel}): they run nearly the same code for selecting, reading and
+ * writing as sockets, and no additional address is opened. Unix domain sockets are not available everywhere. The
+ * warm-up does not touch discovery, real endpoints or the log.
  */
 final class JitWarmUp {
     /**
-     * Above the 60 calls after which the deploy file's flags compile a method, for code that not every request runs.
+     * More than the 60 calls after which the JVM flags of the deploy file compile a method, so that code that only some
+     * requests run is compiled too.
      */
     static final int REQUESTS = 84;
 
     private static final int CLIENTS = 4;
-    /** After so many requests a client opens a new connection. */
+    /** A client opens a new connection after this many requests. */
     private static final int REQUESTS_PER_CONNECTION = 4;
 
     private static final int ENDPOINTS = 3;
     private static final int TIMEOUT_MS = 2_000;
-    /** One in so many requests is answered {@code busy} by its endpoint and retried on another. */
+    /** One in this many requests is answered {@code busy} by its endpoint and retried on another. */
     private static final int BUSY_INTERVAL = 30;
 
     private final EventLoop loop;
     private final ProxyServer proxy;
-    /** The classes that a command can name: requests of others would be rejected. */
+    /** Request classes whose names fit into a command; requests of other classes would be rejected. */
     private final List<RequestClass> classes;
 
     private final List<TenantQuota> tenants;
-    private final boolean anybody;
-    /** Dialled by name only. */
-    private final SocketAddress nowhere = new InetSocketAddress(InetAddress.getLoopbackAddress(), 1);
+    private final boolean hasUsableNames;
+    /** Placeholder address; nothing connects to it over the network. */
+    private final SocketAddress placeholderAddress = new InetSocketAddress(InetAddress.getLoopbackAddress(), 1);
 
     private final Promise<Void> done;
-    private ChannelHandler accepts;
+    private ChannelHandler acceptInitializer;
     private final List<Channel> open = new ArrayList<>();
-    private int asked;
+    private int sentRequests;
     private int answered;
-    private int atNodes;
+    private int endpointRequests;
 
     private JitWarmUp(ProxyConfiguration config, EventLoop loop) {
         this.loop = loop;
@@ -79,24 +80,24 @@
         tenants = Arrays.stream(config.settings.tenants)
                 .filter(t -> RequestNames.fitsCommandLine(t.name))
                 .toList();
-        anybody = !classes.isEmpty() && (!tenants.isEmpty() || config.settings.tenants.length == 0);
+        hasUsableNames = !classes.isEmpty() && (!tenants.isEmpty() || config.settings.tenants.length == 0);
         done = loop.newPromise();
-        HostEnvironment machine = new HostEnvironment(
-                () -> InMemoryChannel.to(new ChannelInitializer<Channel>() {
+        HostEnvironment host = new HostEnvironment(
+                () -> InMemoryChannel.connectingTo(new ChannelInitializer<Channel>() {
                     @Override
-                    protected void initChannel(Channel ch) {
-                        open.add(ch);
-                        ch.pipeline().addLast(new Node());
+                    protected void initChannel(Channel channel) {
+                        open.add(channel);
+                        channel.pipeline().addLast(new StandInEndpoint());
                     }
                 }),
                 NioServerSocketChannel::new,
-                System::currentTimeMillis); // it never listens
-        proxy = new ProxyServer(config, loop, machine, new Log(System::nanoTime, line -> {}), router -> router);
+                System::currentTimeMillis); // unused, since the warm-up proxy never listens
+        proxy = new ProxyServer(config, loop, host, new Log(System::nanoTime, line -> {}), router -> router);
     }
 
     /**
-     * Blocks until the warm-up has ended, 2 s at most; not to be called on the event loop. Where it fails the proxy
-     * only starts slower, and the log says so.
+     * Blocks until the warm-up has ended, for 2 s at most per step; must not be called on the event loop. A failure is
+     * logged and only makes the start slower.
      *
      * @return how many requests were answered
      */
@@ -114,42 +115,42 @@
     }
 
     private static int run(ProxyConfiguration config, EventLoop loop) throws InterruptedException, IOException {
-        Future<JitWarmUp> made = loop.submit(() -> new JitWarmUp(config, loop));
-        if (!made.await(TIMEOUT_MS) || !made.isSuccess()) {
-            throw new IOException(made.cause());
+        Future<JitWarmUp> created = loop.submit(() -> new JitWarmUp(config, loop));
+        if (!created.await(TIMEOUT_MS) || !created.isSuccess()) {
+            throw new IOException(created.cause());
         }
-        JitWarmUp r = made.getNow();
+        JitWarmUp warmUp = created.getNow();
         try {
             loop.submit(() -> {
-                        r.begin();
+                        warmUp.begin();
                         return null;
                     })
                     .addListener(f -> {
                         if (!f.isSuccess()) {
-                            r.done.tryFailure(f.cause());
+                            warmUp.done.tryFailure(f.cause());
                         }
                     });
-            r.done.await(TIMEOUT_MS);
+            warmUp.done.await(TIMEOUT_MS);
         } finally {
-            loop.submit(r::end).await(TIMEOUT_MS);
+            loop.submit(warmUp::end).await(TIMEOUT_MS);
         }
-        if (r.done.isDone() && !r.done.isSuccess()) {
-            throw new IOException(r.done.cause());
+        if (warmUp.done.isDone() && !warmUp.done.isSuccess()) {
+            throw new IOException(warmUp.done.cause());
         }
-        return r.answered;
+        return warmUp.answered;
     }
 
     private void begin() throws IOException {
-        if (!anybody) {
-            throw new IOException("no class, or no tenant, has a name that a command can hold");
+        if (!hasUsableNames) {
+            throw new IOException("no request class or no tenant has a name that a command can hold");
         }
-        List<Endpoint> entries = new ArrayList<>();
+        List<Endpoint> endpoints = new ArrayList<>();
         for (int i = 0; i < ENDPOINTS; i++) {
-            EndpointInfo node = new EndpointInfo();
-            node.id = i;
-            entries.add(new Endpoint(node, "warm-up-" + i, nowhere));
+            EndpointInfo endpointInfo = new EndpointInfo();
+            endpointInfo.id = i;
+            endpoints.add(new Endpoint(endpointInfo, "warm-up-" + i, placeholderAddress));
         }
-        accepts = proxy.serveWarmUp(entries);
+        acceptInitializer = proxy.serveWarmUp(endpoints);
         for (int i = 0; i < CLIENTS; i++) {
             connect();
         }
@@ -158,50 +159,50 @@
     private void connect() {
         new Bootstrap()
                 .group(loop)
-                .channelFactory(() -> InMemoryChannel.to(accepts))
+                .channelFactory(() -> InMemoryChannel.connectingTo(acceptInitializer))
                 .handler(new Client())
-                .connect(nowhere);
+                .connect(placeholderAddress);
     }
 
     private void end() {
         proxy.retire();
-        List.copyOf(open).forEach(Channel::close); // and with them the proxy's ends
+        List.copyOf(open).forEach(Channel::close); // which also closes the proxy's ends of the pipes
     }
 
     private static ByteBuf bytes(String text) {
         return Unpooled.copiedBuffer(text, StandardCharsets.ISO_8859_1);
     }
 
-    /** The classes take turns, with a greeting now and then. */
+    /** Cycles through the request classes, with an {@code mn} no-op now and then. */
     private String command() {
-        int i = asked++;
+        int i = sentRequests++;
         if (i % 7 == 6) {
             return "mn\r\n";
         }
         RequestClass c = classes.get(i % classes.size());
         String tenant =
                 tenants.isEmpty() ? "" : ",t=" + RequestNames.inCommandLine(tenants.get(i % tenants.size()).name);
-        long waitMs = Math.max(1, c.deadlineUs / 1000);
-        String fields = "O" + (1000 + i) + " Pc=" + RequestNames.inCommandLine(c.name) + tenant + ",d=" + waitMs;
+        long deadlineMs = Math.max(1, c.deadlineUs / 1000);
+        String fields = "O" + (1000 + i) + " Pc=" + RequestNames.inCommandLine(c.name) + tenant + ",d=" + deadlineMs;
         return c.idempotency == Idempotency.IDEMPOTENT
                 ? "mg 0123456789abcde" + i % 10 + " v " + fields + "\r\n"
                 : "ms 0123456789abcde" + i % 10 + " 5 " + fields + ",k=" + i + "\r\nhello\r\n";
     }
 
-    /** Asks a few times, then once more on a new connection, until enough were asked in all. */
+    /** Sends a few requests per connection until enough were sent in all. */
     private final class Client extends SimpleChannelInboundHandler<ByteBuf> {
-        private int here;
+        private int sentOnConnection;
 
         @Override
         public void channelActive(ChannelHandlerContext ctx) {
             open.add(ctx.channel());
-            ask(ctx);
+            sendNext(ctx);
         }
 
-        private void ask(ChannelHandlerContext ctx) {
-            if (asked >= REQUESTS) {
+        private void sendNext(ChannelHandlerContext ctx) {
+            if (sentRequests >= REQUESTS) {
                 done.trySuccess(null);
-            } else if (here++ < REQUESTS_PER_CONNECTION) {
+            } else if (sentOnConnection++ < REQUESTS_PER_CONNECTION) {
                 ctx.writeAndFlush(bytes(command()));
             } else {
                 ctx.close();
@@ -210,10 +211,10 @@
         }
 
         @Override
-        protected void channelRead0(ChannelHandlerContext ctx, ByteBuf answer) {
-            // small answers, written whole: one read each
-            answered += answer.getByte(answer.readerIndex()) == 'S' ? 0 : 1;
-            ask(ctx);
+        protected void channelRead0(ChannelHandlerContext ctx, ByteBuf response) {
+            // responses are small and written in one piece, so each arrives in one read
+            answered += response.getByte(response.readerIndex()) == 'S' ? 0 : 1;
+            sendNext(ctx);
         }
 
         @Override
@@ -227,14 +228,14 @@
         }
     }
 
-    /** Serves what it is asked, one read a command. */
-    private final class Node extends SimpleChannelInboundHandler<ByteBuf> {
+    /** A stand-in endpoint; each command arrives in one read. */
+    private final class StandInEndpoint extends SimpleChannelInboundHandler<ByteBuf> {
         @Override
         protected void channelRead0(ChannelHandlerContext ctx, ByteBuf command) {
             String text = command.toString(StandardCharsets.ISO_8859_1);
             int id = text.indexOf(" O") + 1;
             String opaque = text.substring(id, text.indexOf(' ', id));
-            if (atNodes++ % BUSY_INTERVAL == BUSY_INTERVAL - 1) {
+            if (endpointRequests++ % BUSY_INTERVAL == BUSY_INTERVAL - 1) {
                 ctx.writeAndFlush(bytes("SERVER_ERROR busy\r\n"));
             } else if (text.startsWith("mg")) {
                 ctx.writeAndFlush(bytes("VA 5 " + opaque + " h1\r\nhello\r\n"));
--- a/proxy/src/main/java/cacheproxy/server/ProcessSignals.java
+++ b/proxy/src/main/java/cacheproxy/server/ProcessSignals.java
@@ -3,9 +3,9 @@
 import sun.misc.Signal;
 
 /**
- * Handles SIGHUP, SIGTERM and SIGINT from the first instruction on, and keeps a signal until its handler is set. By
- * default the JVM would exit on SIGHUP, and on SIGTERM without answering what was accepted during the start. Handlers
- * run on the JVM's signal thread and must not block.
+ * Handles SIGHUP, SIGTERM and SIGINT from process start on; a signal that arrives before its handler is set is kept
+ * until then. By default the JVM would exit on SIGHUP, and on SIGTERM without answering requests accepted during the
+ * start. Handlers run on the JVM's signal thread and must not block.
  */
 public final class ProcessSignals {
     private Runnable onHup;
@@ -33,14 +33,14 @@
     /** Shuts down as on SIGTERM. */
     synchronized void terminate() {
         if (onTerm == null || terminated) {
-            terminated = true; // a second one changes nothing
+            terminated = true; // further signals have no effect
         } else {
             terminated = true;
             onTerm.run();
         }
     }
 
-    /** Sets the handler of SIGHUP; one that came before is handled now. */
+    /** Sets the handler of SIGHUP; a pending signal is handled now. */
     synchronized void onHup(Runnable task) {
         onHup = task;
         if (hangUpPending) {
@@ -49,7 +49,7 @@
         }
     }
 
-    /** Sets the handler of SIGTERM and SIGINT, which runs once; one that came before is handled now. */
+    /** Sets the handler of SIGTERM and SIGINT, which runs once; a pending signal is handled now. */
     synchronized void onTerm(Runnable task) {
         onTerm = task;
         if (terminated) {
--- a/proxy/src/main/java/cacheproxy/server/ProxyProcess.java
+++ b/proxy/src/main/java/cacheproxy/server/ProxyProcess.java
@@ -21,32 +21,33 @@
 import java.util.concurrent.TimeoutException;
 import java.util.function.Supplier;
 
-/** The process of one proxy, from its first instruction to its exit code. */
+/** The process of one proxy, from start to exit code. */
 public final class ProxyProcess {
-    /** The event loop ended by itself: a process that serves nobody must not look alive. */
+    /** The event loop ended unexpectedly; a process that serves no requests must not look alive. */
     static final int EXIT_CODE_LOOP_ENDED = 70;
-    /** After SIGTERM clients still connect for 0.4 s; the platform may cut off what comes after 0.7 s. */
+    /** Clients go on connecting for 0.4 s after SIGTERM; the platform may cut off connections after 0.7 s. */
     static final long DRAIN_OPEN_MS = 500;
 
-    private static final long LAST_LINES_MS = 200;
+    private static final long LOG_FLUSH_TIMEOUT_MS = 200;
 
     private final AsyncLogWriter writer = new AsyncLogWriter(System.err);
     private final Log log = new Log(System::nanoTime, writer, System.getenv(Log.VARIABLE));
 
     private final Supplier<IoHandlerFactory> io;
-    /** Null where {@code LB_CONTROL} is not set. */
+    /** Null if {@code LB_CONTROL} is not set. */
     private ControlChannel control;
 
-    /** @param io makes the event loop's I/O, once signals and log are set up */
+    /** @param io creates the event loop's I/O handler factory, called once signals and log are set up */
     ProxyProcess(Supplier<IoHandlerFactory> io) {
         this.io = io;
     }
 
     /**
      * Runs a proxy until SIGTERM or SIGINT, which end the process with exit code 0. Exit code 70: the event loop ended
-     * by itself; 2: it cannot start, with the reason on one line; 3: another process holds the lock on its name.
+     * unexpectedly; 2: the proxy cannot start, with the reason on one line; 3: another process holds the lock on its
+     * name.
      *
-     * @param signals handled since before this class was loaded, which takes time
+     * @param signals installed before this class is loaded, because loading takes time
      */
     public static void run(Map<String, String> env, ProcessSignals signals) {
         new ProxyProcess(NioIoHandler::newFactory).runUntilSignal(env, signals);
@@ -59,46 +60,46 @@
             writer.accept("cacheproxy: " + e.getMessage());
             end(code(e));
         } catch (RuntimeException | Error e) {
-            // the event loop's thread would keep the process running
+            // exit explicitly: the event loop's thread would keep the process running
             writer.accept("cacheproxy: cannot start: " + e);
             end(EXIT_CODE_LOOP_ENDED);
         }
     }
 
-    /** The exit code of a process that could not start for this reason. */
-    public static int code(InvalidInputException why) {
-        return why instanceof InstanceLock.HeldException ? InstanceLock.EXIT_CODE_HELD : 2;
+    /** The exit code of a process that could not start because of this exception. */
+    public static int code(InvalidInputException cause) {
+        return cause instanceof InstanceLock.HeldException ? InstanceLock.EXIT_CODE_HELD : 2;
     }
 
     private void start(Map<String, String> env, ProcessSignals signals) {
-        signals.onTerm(() -> end(0)); // no request is accepted before it listens
-        InternalLoggerFactory.setDefaultFactory(new NettyLoggerFactory(log)); // before any class of Netty is loaded
+        signals.onTerm(() -> end(0)); // nothing to answer yet: no request is accepted before the proxy listens
+        InternalLoggerFactory.setDefaultFactory(new NettyLoggerFactory(log)); // before any Netty class is loaded
         control = ProxyConfiguration.controlled(env) ? ControlChannel.open(env) : null;
         ProxyConfiguration config = ProxyConfiguration.load(env);
-        ThreadFactory thread = r -> new FastThreadLocalThread(() -> exitWhenItEnds(r), "loop");
+        ThreadFactory thread = loopTask -> new FastThreadLocalThread(() -> exitWhenItEnds(loopTask), "loop");
         EventLoop loop = new MultiThreadIoEventLoopGroup(1, thread, io.get()).next();
         ProxyServer proxy = ProxyServer.create(config, loop, HostEnvironment.real(), log, router -> router);
-        ConfigurationReloader reload = new ConfigurationReloader(env, log, config, proxy::reload);
+        ConfigurationReloader reloader = new ConfigurationReloader(env, log, config, proxy::reload);
         if (control != null) {
             control.attach(proxy, loop);
-            control.reloadWith(reload);
+            control.reloadWith(reloader);
         }
         proxy.warmUp();
-        // before it listens: everything accepted from then on is answered
+        // set before the proxy listens, so that everything accepted is answered
         signals.onTerm(() -> new Thread(() -> drain(loop, proxy), "drain").start());
         if (control != null) {
             control.drainWith(signals::terminate);
         }
         proxy.open();
-        signals.onHup(reload::request);
+        signals.onHup(reloader::request);
     }
 
     private void exitWhenItEnds(Runnable loop) {
         Throwable cause = null;
         try {
             loop.run();
-        } catch (Throwable t) {
-            cause = t;
+        } catch (Throwable failure) {
+            cause = failure;
         } finally {
             log.line("the loop has ended, and the process with it" + (cause == null ? "" : ": " + cause));
             end(EXIT_CODE_LOOP_ENDED);
@@ -107,26 +108,27 @@
 
     private void drain(EventLoop loop, ProxyServer proxy) {
         try {
-            long noticeNs = TimeUnit.MICROSECONDS.toNanos(proxy.shutdownNoticeUs());
-            long end = System.nanoTime() + noticeNs;
-            // bounded: a hanging event loop must not keep the process running
-            Future<Void> drained = loop.submit(() -> proxy.drain(DRAIN_OPEN_MS)).get(noticeNs, TimeUnit.NANOSECONDS);
-            boolean all = drained.await(end - System.nanoTime(), TimeUnit.NANOSECONDS);
-            log.line(all ? "ended" : "ending with requests open");
+            long shutdownNoticeNs = TimeUnit.MICROSECONDS.toNanos(proxy.shutdownNoticeUs());
+            long end = System.nanoTime() + shutdownNoticeNs;
+            // time-bounded, so that a hanging event loop cannot keep the process running
+            Future<Void> drained =
+                    loop.submit(() -> proxy.drain(DRAIN_OPEN_MS)).get(shutdownNoticeNs, TimeUnit.NANOSECONDS);
+            boolean allAnswered = drained.await(end - System.nanoTime(), TimeUnit.NANOSECONDS);
+            log.line(allAnswered ? "ended" : "exiting with requests open");
             if (control != null) {
-                control.notifyDrained(all);
+                control.notifyDrained(allAnswered);
             }
         } catch (TimeoutException e) {
-            log.line("ending with requests open: the loop hangs");
+            log.line("exiting with requests open: the loop hangs");
         } catch (InterruptedException | ExecutionException e) {
-            log.line("ending at once: " + e);
+            log.line("shutdown aborted: " + e);
         }
         end(0);
     }
 
     private void end(int code) {
         try {
-            writer.flush(LAST_LINES_MS);
+            writer.flush(LOG_FLUSH_TIMEOUT_MS);
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
--- a/proxy/src/main/java/cacheproxy/server/ProxyServer.java
+++ b/proxy/src/main/java/cacheproxy/server/ProxyServer.java
@@ -30,22 +30,22 @@
 import java.util.function.UnaryOperator;
 
 /**
- * One proxy on real sockets: puts its parts together and takes them through start, reload and graceful shutdown. One
- * thread, the event loop, runs all of it; nothing is locked and nothing may block. Methods are called on the event loop
- * unless they say otherwise.
+ * One proxy on real sockets: creates its parts and drives them through start, reload and graceful shutdown. A single
+ * thread, the event loop, runs all of it, so nothing is locked and nothing may block. Methods are called on the event
+ * loop unless stated otherwise.
  */
 final class ProxyServer implements EndpointListListener {
-    /** Descriptors for the process itself: libraries, selector, listener, discovery. */
+    /** Descriptors reserved for the process itself: libraries, selector, listener, discovery. */
     private static final int OWN_DESCRIPTORS = 48;
-    /** Clients that have sent a command may hold this part of all descriptors. */
+    /** Clients that have sent a command may hold one in this many of all descriptors. */
     private static final int ESTABLISHED_CLIENTS_DIVISOR = 4;
-    /** Readiness is reported after this at the latest: two calls to an overloaded discovery, at 2 s each. */
+    /** The proxy is ready after this time at the latest: two calls to an overloaded discovery take 2 s each. */
     static final long READINESS_TIMEOUT_US = 4_000_000;
-    /** SIGKILL follows SIGTERM after the longest deadline, 3 s at most, and 0.7 s. */
+    /** SIGKILL follows SIGTERM after the longest deadline, at most 3 s, plus 0.7 s. */
     private static final long MAX_DEADLINE_AT_SHUTDOWN_US = 3_000_000;
 
     private static final long SHUTDOWN_MARGIN_US = 600_000;
-    /** Before the end of the notice: for the last responses to be written and the connections to close. */
+    /** Reserved at the end of the notice period to write the last responses and close the connections. */
     private static final long LAST_RESPONSES_US = 100_000;
 
     private final ProxyConfiguration configuration;
@@ -62,7 +62,7 @@
     private final EndpointList endpoints;
     private final ClientListener listener;
 
-    /** @param wrap stands between this and the router in tests; the identity otherwise */
+    /** @param wrap wraps the router in tests; the identity function otherwise */
     ProxyServer(
             ProxyConfiguration configuration,
             EventLoop loop,
@@ -96,12 +96,12 @@
         discovery = new DiscoveryClient(this, clock, configuration, loop, host, log);
         endpoints = new EndpointList(router, pools, discovery, log);
         listener = new ClientListener(clients, clock, configuration, loop, host);
-        // before the router, which starts timers: a proxy that cannot start for a malformed list must call nobody
-        List<Endpoint> known = discovery.known();
+        // before the router, which starts timers: if a malformed list prevents the start, nothing may be called
+        List<Endpoint> configuredEndpoints = discovery.known();
         RoutingActions actions = new RouterActionHandler(exchanges, pools, discovery, router, clock, log);
         router.begin(wrap.apply(new FairRouter(settings, configuration.seed, clock.nowUs(), actions)), actions);
-        // before any list of the watch: the configuration's list is older
-        endpointsReceived(EndpointListKind.CACHED, known);
+        // before any list from the watch, because the configuration's list is older
+        endpointsReceived(EndpointListKind.CACHED, configuredEndpoints);
         clock.schedule(READINESS_TIMEOUT_US, readiness::timeOut);
     }
 
@@ -118,7 +118,7 @@
 
     // ---- start and reload, called from outside the event loop ----
 
-    /** Makes a proxy on its event loop and waits for it; not called on the event loop. */
+    /** Creates a proxy on its event loop and waits for it; must not be called on the event loop. */
     static ProxyServer create(
             ProxyConfiguration configuration,
             EventLoop loop,
@@ -135,7 +135,7 @@
         }
     }
 
-    /** Runs the code of the ordinary path until it is compiled; not called on the event loop, and blocks. */
+    /** Runs the JIT warm-up of the request path. Blocks; must not be called on the event loop. */
     void warmUp() {
         try {
             JitWarmUp.run(configuration, loop, log);
@@ -144,7 +144,7 @@
         }
     }
 
-    /** Begins to serve, and waits until the proxy listens; not called on the event loop. */
+    /** Starts serving and waits until the proxy listens; must not be called on the event loop. */
     void open() {
         try {
             Future<Void> open = loop.submit(this::begin).get().await();
@@ -159,14 +159,14 @@
         }
     }
 
-    /** Takes the address of discovery from a valid new configuration; called on any thread. */
+    /** Applies the discovery address of a valid new configuration; may be called on any thread. */
     void reload(ProxyConfiguration changed) {
         loop.execute(() -> discovery.move(changed.discovery));
     }
 
     // ---- life cycle, on the event loop ----
 
-    /** Begins to serve; done once the proxy listens. */
+    /** Starts serving; completes once the proxy listens. */
     Future<Void> begin() {
         clock.start();
         readiness.start();
@@ -174,26 +174,27 @@
         return listener.open();
     }
 
-    /** Serves these endpoints without listening and without discovery; for {@link JitWarmUp}. */
+    /** Starts serving with these endpoints, without listening and without discovery; for {@link JitWarmUp}. */
     ChannelHandler serveWarmUp(List<Endpoint> warmUpEndpoints) {
         clock.start();
         endpointsReceived(EndpointListKind.FULL, warmUpEndpoints);
         return listener.clientInitializer();
     }
 
-    /** Ends all timers: nothing happens any more. */
+    /** Stops all timers, after which the proxy does nothing more. */
     void retire() {
         clock.stop();
     }
 
-    /** The address that it listens on. */
+    /** The address that the proxy listens on. */
     InetSocketAddress address() {
         return listener.address();
     }
 
     /**
-     * Shuts down gracefully after SIGTERM: accepts connections for {@code acceptMs} more, then closes each once it is
-     * answered. Done once all client connections are closed; requests still open at the end of the notice are failed.
+     * Shuts down gracefully after SIGTERM: accepts connections for another {@code acceptMs}, then closes each once its
+     * requests are answered. Completes once all client connections are closed; requests still open at the end of the
+     * notice period are failed.
      */
     Future<Void> drain(long acceptMs) {
         log.line("shutting down: " + exchanges.size() + " requests open");
@@ -201,17 +202,17 @@
         return listener.drain(acceptMs);
     }
 
-    /** The time from SIGTERM to SIGKILL in microseconds, by the longest deadline of the settings. */
+    /** The notice period from SIGTERM to SIGKILL in microseconds, from the longest deadline of the settings. */
     long shutdownNoticeUs() {
-        long longestUs = 0;
+        long longestDeadlineUs = 0;
         for (RequestClass requestClass : configuration.settings.requestClasses) {
             long deadlineUs = requestClass.deadlineUs > 0 ? requestClass.deadlineUs : MAX_DEADLINE_AT_SHUTDOWN_US;
-            longestUs = Math.max(longestUs, deadlineUs);
+            longestDeadlineUs = Math.max(longestDeadlineUs, deadlineUs);
         }
-        return Math.min(longestUs, MAX_DEADLINE_AT_SHUTDOWN_US) + SHUTDOWN_MARGIN_US;
+        return Math.min(longestDeadlineUs, MAX_DEADLINE_AT_SHUTDOWN_US) + SHUTDOWN_MARGIN_US;
     }
 
-    /** Fails the open requests, and answers what was read but not decoded yet. */
+    /** Fails the open requests, and answers commands that were read but not decoded yet. */
     void sendLastResponses() {
         exchanges.failAll();
         clients.decodeAllNow();
@@ -235,8 +236,8 @@
     }
 
     /**
-     * Nobody is notified of changes while discovery cannot be reached, so the configuration's list is used. Where lists
-     * are pushed, what the agent had counts as known even while it is away.
+     * While discovery is unreachable no proxy is notified of changes, so the configuration's list is used. If lists are
+     * pushed by an agent, changes that the agent had received count as known even while it is away.
      */
     @Override
     public void discoveryUnreachable() {
@@ -245,9 +246,9 @@
         }
     }
 
-    // ---- state for others ----
+    // ---- status and resource accounting ----
 
-    /** The state that the control channel reports; its keys are part of the channel's protocol. */
+    /** The status that the control channel reports; its keys are part of the channel's protocol. */
     Map<String, Object> status() {
         Map<String, Object> status = new LinkedHashMap<>();
         boolean serving = readiness.isReady() && listener.isListening();
@@ -260,7 +261,7 @@
         return status;
     }
 
-    /** What is reserved now, by name: for tests, which check that everything is released. */
+    /** Amounts of resources reserved now, by name, for tests that check that everything is released. */
     Map<String, Long> reserved() {
         return Map.of(
                 "requests",
@@ -272,7 +273,7 @@
                 "unwritten response bytes",
                 clients.unwrittenResponseBytes(),
                 "value bytes coming from clients",
-                clients.valueBytesComing(),
+                clients.incomingValueBytes(),
                 "response bytes coming from endpoints",
                 pools.comingBytes(),
                 "read-ahead bytes",
--- a/proxy/src/main/java/cacheproxy/server/ReadinessGate.java
+++ b/proxy/src/main/java/cacheproxy/server/ReadinessGate.java
@@ -4,10 +4,10 @@
 import java.util.ArrayDeque;
 
 /**
- * Decides when the proxy reports that it is ready: load balancers send clients to a proxy once it has answered
- * {@code mn}. It is ready when an endpoint can serve and discovery has sent its endpoint list. Changes that discovery
- * or an agent has announced before this process started count as known to it, so that the list of the configuration,
- * which may be older, is not served while a newer one can be had. Lives on the event loop.
+ * Decides when the proxy reports that it is ready. Load balancers send clients to a proxy once it has answered
+ * {@code mn}. The proxy is ready when an endpoint is serving and discovery has sent its endpoint list. Changes that
+ * discovery or an agent announced before this process started count as known to it, so the configuration's list, which
+ * may be older, is not used while a newer one is available. Used on the event loop only.
  */
 final class ReadinessGate {
     private static final int MAX_PENDING = 4096;
@@ -27,18 +27,18 @@
 
     private final Log log;
     private final ArrayDeque<Runnable> pending = new ArrayDeque<>();
-    /** Before the proxy listens only the JIT warm-up asks, and is answered at once. */
+    /** Until then only the JIT warm-up sends {@code mn}, and is answered at once. */
     private boolean started;
 
     private boolean ready;
-    /** Why the first list is not waited for any more; null while it is. */
+    /** Why the proxy no longer waits for the first list; null while it waits. */
     private Cause cause;
 
     ReadinessGate(Log log) {
         this.log = log;
     }
 
-    /** The proxy begins to listen: from now on responses wait until it is ready. */
+    /** Called when the proxy begins to listen: from now on responses wait until it is ready. */
     void start() {
         started = true;
     }
@@ -47,7 +47,7 @@
         return ready;
     }
 
-    /** Runs a response now or once the proxy is ready; at once if too many wait already. */
+    /** Runs {@code response} once the proxy is ready; at once if too many are pending already. */
     void whenReady(Runnable response) {
         if (!started || ready || pending.size() >= MAX_PENDING) {
             response.run();
@@ -56,7 +56,7 @@
         }
     }
 
-    /** The first list need not be waited for any more; {@code canServe}: whether an endpoint is serving. */
+    /** Ends the wait for the first list. {@code canServe}: whether an endpoint is serving. */
     void stopWaiting(Cause reason, boolean canServe) {
         if (cause == null) {
             cause = reason;
@@ -64,14 +64,14 @@
         endpointsChanged(canServe);
     }
 
-    /** The endpoint list has changed; {@code canServe}: whether an endpoint is serving. */
+    /** Called when the endpoint list has changed. {@code canServe}: whether an endpoint is serving. */
     void endpointsChanged(boolean canServe) {
         if (!ready && canServe && cause != null) {
             becomeReady(cause);
         }
     }
 
-    /** The proxy becomes ready even without an endpoint: rejections then show that discovery is down. */
+    /** Makes the proxy ready even without an endpoint; its rejections then show that discovery is down. */
     void timeOut() {
         if (!ready) {
             becomeReady(Cause.TIMED_OUT);
--- a/proxy/src/main/java/cacheproxy/server/RequestExchange.java
+++ b/proxy/src/main/java/cacheproxy/server/RequestExchange.java
@@ -10,20 +10,20 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** A request that was accepted: its command, where its response goes, and its attempts. Lives on the event loop. */
+/** An accepted request: its command, the slot for its response, and its attempts. Used on the event loop only. */
 final class RequestExchange implements UpstreamRequest, ClientRequest {
     final long id;
     final MetaCommand command;
     final ClientSession session;
     final ResponseSlot slot;
-    /** When its response is due, on the event loop's clock. */
+    /** Deadline of the response, on the event loop's clock. */
     final long dueUs;
 
     final boolean idempotent;
     final List<Attempt> attempts = new ArrayList<>(2);
     int attemptsInFlight;
     boolean answered;
-    /** Fails it some time after it was due, should the router have left it unanswered. */
+    /** Fails the request some time after its deadline if the router has left it unanswered. */
     Future<?> overdueTimer;
 
     private final RequestExchanges exchanges;
--- a/proxy/src/main/java/cacheproxy/server/RequestExchanges.java
+++ b/proxy/src/main/java/cacheproxy/server/RequestExchanges.java
@@ -26,16 +26,16 @@
 import java.util.Set;
 
 /**
- * The open requests: accepts them from clients within bounds, notifies the router of them, runs the attempts that the
- * router asks for, and gives each request its one response. Lives on the event loop.
+ * The open requests: accepts them from clients up to a limit, passes them to the router, runs the attempts that the
+ * router requests, and gives each request exactly one response. Used on the event loop only.
  */
 final class RequestExchanges implements RequestHandler, AttemptListener {
     private static final long MAX_VALUE_BYTES = 6L << 20;
     private static final int MAX_OPEN_REQUESTS = 4096;
     private static final long OVERLOADED_RETRY_AFTER_US = 500_000;
-    /** A client's deadline runs from its sending on: the time that a response takes to reach it. */
+    /** Reserved for the response to reach the client, whose deadline counts from when it sent the request. */
     private static final long CLIENT_TRANSIT_US = 5_000;
-    /** A request that the router has left unanswered for so long after its deadline is failed. */
+    /** A request that the router leaves unanswered for this long after its deadline is failed. */
     private static final long OVERDUE_US = 15_000;
 
     private static final String FAILED = "SERVER_ERROR failed";
@@ -48,9 +48,9 @@
     private final RequestOutcomeCounters counters;
 
     private final Map<Long, RequestExchange> byId = new HashMap<>();
-    /** The ids that clients gave to the open requests. */
+    /** Opaque ids that clients gave to the open requests. */
     private final Set<String> opaques = new HashSet<>();
-    /** Requests that were answered while the router's events are held back: it may still refer to them. */
+    /** Requests answered while router events are held back; the router may still refer to them. */
     private final ArrayDeque<RequestExchange> awaitingRelease = new ArrayDeque<>();
 
     private long nextId = 1;
@@ -73,7 +73,7 @@
         router.onReleased(this::settleReleased);
     }
 
-    /** How many requests are open. */
+    /** The number of open requests. */
     int size() {
         return byId.size();
     }
@@ -102,13 +102,13 @@
             return null;
         }
         if (!opaques.add(command.opaque())) {
-            // a response by this id could reach the wrong client
+            // a response with this id could reach the wrong client
             counters.count(command, Outcome.REJECTED);
             session.respond(slot, "CLIENT_ERROR the id is in use");
             return null;
         }
         long now = clock.nowUs();
-        long dueUs = now + responseTimeUs(command) - waitedUnreadUs(session, now);
+        long dueUs = now + responseTimeUs(command) - waitedBeforeDecodingUs(session, now);
         boolean idempotent = requestClass(command).idempotency == Idempotency.IDEMPOTENT;
         RequestExchange exchange = new RequestExchange(this, nextId++, command, session, slot, dueUs, idempotent);
         byId.put(exchange.id, exchange);
@@ -122,7 +122,7 @@
         return exchange;
     }
 
-    /** The limit that leaves no room for this request; null where there is room. */
+    /** The limit that this request would exceed; null if there is room. */
     private String exceededLimit(MetaCommand command) {
         if (finishing) {
             return "shutting down";
@@ -133,18 +133,18 @@
         return valueBytes + command.valueBytes() > MAX_VALUE_BYTES ? "bytes of values" : null;
     }
 
-    /** A retry is failed, not rejected, where its first attempt may have been executed and be forgotten by now. */
+    /** Fails a retry instead of rejecting it if the first try may have run and left the deduplication window. */
     private void rejectForCapacity(ClientSession session, ResponseSlot slot, MetaCommand command, String limit) {
-        boolean harmless = !command.isRetry() || requestClass(command).isDeduplicatedUntilDeadline(settings);
-        counters.count(command, harmless ? Outcome.REFUSED : Outcome.FAILED);
-        session.respond(slot, harmless ? overloadedLine(limit) : FAILED);
+        boolean safeToReject = !command.isRetry() || requestClass(command).isDeduplicatedUntilDeadline(settings);
+        counters.count(command, safeToReject ? Outcome.REFUSED : Outcome.FAILED);
+        session.respond(slot, safeToReject ? overloadedLine(limit) : FAILED);
     }
 
     private RequestClass requestClass(MetaCommand command) {
         return settings.requestClasses[command.requestClass()];
     }
 
-    /** How long the proxy may take to respond, from the moment the request reached it, in microseconds. */
+    /** How long the proxy may take to respond from when the request reached it, in microseconds. */
     private long responseTimeUs(MetaCommand command) {
         long deadlineUs = requestClass(command).deadlineUs;
         long waitUs = command.waitMs() == MetaCommand.WAIT_NOT_STATED ? deadlineUs : command.waitMs() * 1000L;
@@ -152,8 +152,8 @@
         return Math.max(waitUs / 2, waitUs - CLIENT_TRANSIT_US);
     }
 
-    /** How long the request has waited in the kernel or in the proxy before it was decoded. */
-    private long waitedUnreadUs(ClientSession session, long now) {
+    /** How long the request waited in the kernel or in the proxy before it was decoded, in microseconds. */
+    private long waitedBeforeDecodingUs(ClientSession session, long now) {
         return Math.max(clock.stalledForUs(now), Math.max(session.acceptedLateUs(now), session.undecodedForUs(now)));
     }
 
@@ -168,7 +168,7 @@
         }
     }
 
-    /** The client of this request has closed its connection. */
+    /** Called when the client of this request has closed its connection. */
     void clientClosed(RequestExchange exchange) {
         if (!exchange.answered) {
             conclude(exchange, Outcome.LEFT);
@@ -199,8 +199,8 @@
     }
 
     /**
-     * Fails all open requests, and from now on rejects new ones: the process is about to end, and a client may wait for
-     * longer than it lives. Whether they were executed is left open.
+     * Fails all open requests and rejects new ones from now on, because the process is about to end before their
+     * deadlines. Whether the failed requests were executed is unknown to their clients.
      */
     void failAll() {
         finishing = true;
@@ -230,7 +230,7 @@
         settle(exchange);
     }
 
-    /** Forgets a request that is answered and has no attempt in flight. */
+    /** Removes a request that is answered and has no attempt in flight. */
     private void settle(RequestExchange exchange) {
         if (router.isHoldingBack()) {
             awaitingRelease.add(exchange);
@@ -246,17 +246,17 @@
         }
     }
 
-    // ---- what the router asks for ----
+    // ---- actions of the router ----
 
-    /** Sends an attempt; {@code pool}: null where the endpoint is not listed. */
+    /** Sends an attempt; {@code pool} is null if the endpoint is not listed. */
     void sendAttempt(long id, EndpointPool pool, long timeoutUs) {
         RequestExchange exchange = byId.get(id);
         if (exchange == null) {
             throw new IllegalStateException("attempt for an unknown request");
         }
         long now = clock.nowUs();
-        long leftUs = exchange.dueUs - now;
-        long waitUs = timeoutUs != 0 ? Math.min(timeoutUs, leftUs) : leftUs;
+        long remainingUs = exchange.dueUs - now;
+        long waitUs = timeoutUs != 0 ? Math.min(timeoutUs, remainingUs) : remainingUs;
         Attempt attempt = new Attempt(exchange, exchange.attempts.size(), now, waitUs, clock.totalLateUs(now));
         exchange.attempts.add(attempt);
         exchange.attemptsInFlight++;
@@ -272,7 +272,7 @@
         }
     }
 
-    /** Rejects a request with a promise that it has no effect. */
+    /** Rejects a request, which promises the client that it has not been executed. */
     void reject(long id, long retryAfterUs) {
         RequestExchange exchange = byId.get(id);
         if (exchange != null && !exchange.answered) {
@@ -281,7 +281,7 @@
         }
     }
 
-    /** The same, where the promise holds only for a response written by {@code validUntilUs}. */
+    /** Same as above, where the promise only holds if the response is written by {@code validUntilUs}. */
     void reject(long id, long retryAfterUs, long validUntilUs) {
         RequestExchange exchange = byId.get(id);
         if (exchange != null && !exchange.answered) {
@@ -304,7 +304,7 @@
         }
     }
 
-    /** Writes the reason why a request gets no further attempt into the log, where requests are traced. */
+    /** Logs why a request gets no further attempt, if requests are traced. */
     void explain(long id, RejectionReason reason) {
         RequestExchange exchange = byId.get(id);
         if (exchange != null) {
@@ -312,9 +312,9 @@
         }
     }
 
-    // ---- ends of attempts ----
+    // ---- completion of attempts ----
 
-    /** A response that has arrived but was not read, as after a stall in the middle of reading, comes first. */
+    /** Reads a response that has already arrived, as after a stall in the middle of reading, before timing out. */
     private void timeOut(Attempt attempt) {
         if (!attempt.isCompleted()) {
             attempt.connection().readArrived();
@@ -326,11 +326,11 @@
         if (attempt.isCompleted()) {
             return;
         }
-        // what was not written completely cannot be executed: it may be rejected or sent elsewhere
+        // a command that was not written completely cannot run, so it may be rejected or sent to another endpoint
         boolean neverExecuted = !attempt.connection().giveUp(attempt) && completion == AttemptCompletion.TIMED_OUT;
-        AttemptCompletion unwritten =
+        AttemptCompletion notWrittenCompletion =
                 loopRanLateDuring(attempt, clock.nowUs()) ? AttemptCompletion.NOT_SENT : AttemptCompletion.NOT_WRITTEN;
-        attemptCompleted(attempt, neverExecuted ? unwritten : completion, null);
+        attemptCompleted(attempt, neverExecuted ? notWrittenCompletion : completion, null);
     }
 
     private boolean loopRanLateDuring(Attempt attempt, long now) {
@@ -338,31 +338,31 @@
                 clock.totalLateUs(now) - attempt.loopLateAtStartUs(), attempt.timeoutUs(), clock.lateShare());
     }
 
-    /** The first success is the client's response; the router is notified of every end. */
+    /** The first successful attempt provides the response; the router is notified of every completion. */
     @Override
-    public void attemptCompleted(Attempt attempt, AttemptCompletion reported, MetaResponse response) {
+    public void attemptCompleted(Attempt attempt, AttemptCompletion reportedCompletion, MetaResponse response) {
         RequestExchange exchange = (RequestExchange) attempt.request();
         attempt.complete();
         exchange.attemptsInFlight--;
         trace(
                 exchange,
-                "attempt " + attempt.number() + " ended " + reported + " after " + (clock.nowUs() - attempt.startedUs())
-                        + " us");
+                "attempt " + attempt.number() + " ended " + reportedCompletion + " after "
+                        + (clock.nowUs() - attempt.startedUs()) + " us");
         AttemptCompletion completion =
-                isEndpointsFault(exchange, attempt, reported) ? AttemptCompletion.FAILED : reported;
+                isEndpointsFault(exchange, attempt, reportedCompletion) ? AttemptCompletion.FAILED : reportedCompletion;
         if (!exchange.answered) {
             respondIfFinal(exchange, completion, response);
         }
         settle(exchange);
         long now = clock.nowUs();
-        AttemptCompletion attributed = attribute(attempt, completion, now);
-        if (attributed != reported) {
-            trace(exchange, "attempt " + attempt.number() + " counts as " + attributed);
+        AttemptCompletion attributedCompletion = attribute(attempt, completion, now);
+        if (attributedCompletion != reportedCompletion) {
+            trace(exchange, "attempt " + attempt.number() + " counts as " + attributedCompletion);
         }
-        router.attemptCompleted(exchange, attempt, attributed, now - attempt.startedUs(), response);
+        router.attemptCompleted(exchange, attempt, attributedCompletion, now - attempt.startedUs(), response);
     }
 
-    /** Whether an endpoint that rejects requests is itself at fault: another one may serve the request. */
+    /** Whether the endpoint that rejected the request is at fault, so that another one may serve it. */
     private static boolean isEndpointsFault(RequestExchange exchange, Attempt attempt, AttemptCompletion completion) {
         EndpointPool pool =
                 attempt.connection() == null ? null : attempt.connection().pool();
@@ -377,15 +377,15 @@
             conclude(exchange, Outcome.SERVED);
             exchange.session.respond(exchange.slot, response.encode());
         } else if (completion == AttemptCompletion.MISS && !settings.cacheAside) {
-            conclude(exchange, Outcome.MISSED); // the endpoint's own response: there is no origin to fetch from
+            conclude(exchange, Outcome.MISSED); // passed on, since there is no origin to fetch the value from
             exchange.session.respond(exchange.slot, "EN");
         } else if (completion == AttemptCompletion.REJECTED) {
-            conclude(exchange, Outcome.REJECTED); // no endpoint can use it: retries would count against them
+            conclude(exchange, Outcome.REJECTED); // no endpoint accepts it: retries would count against them
             exchange.session.respond(exchange.slot, "CLIENT_ERROR bad request");
         }
     }
 
-    /** Replaces an end that says nothing about the endpoint by one that the router does not learn from. */
+    /** Replaces a completion that says nothing about the endpoint by one that the router does not learn from. */
     private AttemptCompletion attribute(Attempt attempt, AttemptCompletion completion, long now) {
         MetaCommand command = attempt.request().command();
         long latencyObjectiveUs = requestClass(command).latencyObjectiveUs;
--- a/proxy/src/main/java/cacheproxy/server/RequestOutcomeCounters.java
+++ b/proxy/src/main/java/cacheproxy/server/RequestOutcomeCounters.java
@@ -5,16 +5,16 @@
 import java.util.LinkedHashMap;
 import java.util.Map;
 
-/** Counts the outcomes of requests since the start, by class and by tenant. Used on the event loop only. */
+/** Counts request outcomes since the process start, by class and by tenant. Used on the event loop only. */
 final class RequestOutcomeCounters {
-    /** The outcome of a request for its client; the names are keys of the control channel's status. */
+    /** The outcome that a client sees; the lower-case names are keys of the control channel's status. */
     enum Outcome {
         SERVED,
-        /** No value under the key ({@code EN}). */
+        /** Cache miss ({@code EN}). */
         MISSED,
         /** Rejected with {@code SERVER_ERROR busy}: a retry is harmless. */
         REFUSED,
-        /** {@code SERVER_ERROR failed}: possibly executed. */
+        /** {@code SERVER_ERROR failed}: the request may have been executed. */
         FAILED,
         /** {@code CLIENT_ERROR}: the request itself is at fault. */
         REJECTED,
@@ -34,26 +34,26 @@
         byTenant = new long[Math.max(1, settings.tenants.length)][OUTCOMES.length];
     }
 
-    void count(MetaCommand c, Outcome outcome) {
-        byClass[c.requestClass()][outcome.ordinal()]++;
-        byTenant[c.tenant()][outcome.ordinal()]++;
+    void count(MetaCommand command, Outcome outcome) {
+        byClass[command.requestClass()][outcome.ordinal()]++;
+        byTenant[command.tenant()][outcome.ordinal()]++;
     }
 
-    /** Adds the counts as the control channel shows them: in all, by class and by tenant. */
+    /** Adds the counts in the format of the control channel: in total, by class and by tenant. */
     void putInto(Map<String, Object> status) {
-        long[] all = new long[OUTCOMES.length];
+        long[] totals = new long[OUTCOMES.length];
         Map<String, Object> classes = new LinkedHashMap<>();
         for (int i = 0; i < byClass.length; i++) {
             classes.put(settings.requestClasses[i].name, named(byClass[i]));
-            for (int e = 0; e < all.length; e++) {
-                all[e] += byClass[i][e];
+            for (int e = 0; e < totals.length; e++) {
+                totals[e] += byClass[i][e];
             }
         }
         Map<String, Object> tenants = new LinkedHashMap<>();
         for (int i = 0; i < settings.tenants.length; i++) {
             tenants.put(settings.tenants[i].name, named(byTenant[i]));
         }
-        status.put("answered", named(all));
+        status.put("answered", named(totals));
         status.put("classes", classes);
         status.put("tenants", tenants);
     }
--- a/proxy/src/main/java/cacheproxy/server/RouterActionHandler.java
+++ b/proxy/src/main/java/cacheproxy/server/RouterActionHandler.java
@@ -8,7 +8,7 @@
 import cacheproxy.upstream.EndpointPool;
 import cacheproxy.upstream.EndpointPools;
 
-/** Carries out what the router decides. Lives on the event loop; decides nothing itself. */
+/** Carries out the actions of the router and decides nothing itself. Used on the event loop only. */
 final class RouterActionHandler implements RoutingActions {
     private final RequestExchanges exchanges;
     private final EndpointPools pools;
--- a/proxy/src/main/java/cacheproxy/server/RouterDispatcher.java
+++ b/proxy/src/main/java/cacheproxy/server/RouterDispatcher.java
@@ -17,17 +17,17 @@
 import java.util.ArrayDeque;
 
 /**
- * Delivers events to the router, one at a time: an event that an action of the router brings about is delivered after
- * the router has returned.
+ * Delivers events to the router one at a time: an event caused by an action of the router is delivered after the router
+ * has returned.
  *
- * <p>After a long stall of the event loop, events other than endpoint lists are held back until everything that arrived
- * during the stall has been read. A list among it may have said long ago that an endpoint drains, and a client may have
- * closed its connection; a decision made before would go by outdated state. Lives on the event loop.
+ * <p>After a long stall of the event loop, events other than endpoint lists are held back until all input that arrived
+ * during the stall has been read. That input may contain an endpoint list with an endpoint that has been draining for a
+ * while, or the close of a client connection; deciding earlier would use outdated state. Used on the event loop only.
  */
 final class RouterDispatcher {
-    /** Nothing may be forwarded 0.3 s after its client has gone, so longer stalls are read through first. */
+    /** No request may be forwarded 0.3 s after its client has closed, so after longer stalls input is read first. */
     private static final long MAX_UNREAD_STALL_US = 250_000;
-    /** Of the drain grace; the rest of it is for a connection to be established in. */
+    /** Share of the drain grace period; the rest of it is left for establishing a connection. */
     private static final long DRAIN_GRACE_DIVISOR = 4;
 
     private final EventLoopClock clock;
@@ -54,23 +54,23 @@
                 graceUs > 0 ? Math.min(MAX_UNREAD_STALL_US, graceUs / DRAIN_GRACE_DIVISOR) : MAX_UNREAD_STALL_US;
     }
 
-    /** Sets the router and what carries out its actions; called before the first event is delivered. */
+    /** Sets the router and the handler of its actions; called before the first event is delivered. */
     void begin(RequestRouter router, RoutingActions actions) {
         this.router = router;
         this.actions = actions;
     }
 
-    /** Sets what is run after events that were held back have been delivered. */
+    /** Sets a task that runs after held back events have been delivered. */
     void onReleased(Runnable task) {
         onReleased = task;
     }
 
-    /** Whether events are held back: the router has not been notified of everything yet. */
+    /** Whether events are held back, so that the router has not been notified of everything yet. */
     boolean isHoldingBack() {
         return !heldBack.isEmpty();
     }
 
-    /** Events that are not delivered yet. */
+    /** The number of events that are not delivered yet. */
     int undelivered() {
         return queue.size() + heldBack.size();
     }
@@ -78,7 +78,7 @@
     void requestArrived(RequestExchange exchange) {
         dispatch(() -> {
             if (exchange.answered) {
-                return; // its client has gone while the event was held back
+                return; // its client closed the connection while the event was held back
             }
             exchange.command.describe(request);
             request.id = exchange.id;
@@ -91,7 +91,7 @@
         dispatch(() -> router.onClientGone(clock.nowUs(), exchange.id, actions));
     }
 
-    /** {@code response}: null where none came. */
+    /** {@code response} is null if the attempt ended without one. */
     void attemptCompleted(
             RequestExchange exchange,
             Attempt attempt,
@@ -121,7 +121,7 @@
         dispatch(() -> router.onTimer(clock.nowUs(), label, actions));
     }
 
-    /** Health checks are not supported: the router is notified that none was sent. */
+    /** Notifies the router that no health check was sent, because health checks are not supported. */
     void healthCheckNotSent(int endpoint) {
         dispatch(() -> {
             report.clear();
@@ -129,7 +129,7 @@
         });
     }
 
-    /** Never held back. */
+    /** Delivers an endpoint list; lists are never held back. */
     void endpointListReceived(EndpointListKind kind, EndpointInfo[] endpoints) {
         deliver(() -> router.onEndpointList(clock.nowUs(), kind, endpoints, endpoints.length, actions));
     }
@@ -150,7 +150,7 @@
             try {
                 deliver(next);
             } finally {
-                heldBack.poll(); // after its delivery: events that it brings about queue behind the others
+                heldBack.poll(); // removed after its delivery, so that events that it causes queue behind the others
             }
         }
         onReleased.run();
@@ -167,7 +167,7 @@
                 faults.run(next);
             }
         } finally {
-            delivering = false; // left true, no event would ever be delivered again
+            delivering = false; // if this stayed true after an error, no event would be delivered again
         }
     }
 }
--- a/proxy/src/main/java/cacheproxy/server/package-info.java
+++ b/proxy/src/main/java/cacheproxy/server/package-info.java
@@ -1,6 +1,6 @@
 /**
- * One proxy on real sockets. {@code ProxyServer} puts the parts together: client connections, request exchanges, the
- * router behind its dispatcher, connections to endpoints and discovery; around it the process with its signals, reload
- * and control channel. One event loop runs a proxy.
+ * One proxy on real sockets. {@code ProxyServer} combines client connections, request exchanges, the router behind its
+ * dispatcher, endpoint connections and discovery. {@code ProxyProcess} adds signals, reload and the control channel.
+ * Each proxy runs on one event loop.
  */
 package cacheproxy.server;
