--- a/proxy/src/test/java/cacheproxy/server/Arrivals.java
+++ b/proxy/src/test/java/cacheproxy/server/Arrivals.java
@@ -4,12 +4,12 @@
 import java.util.LinkedHashMap;
 import java.util.Map;
 
-/** Where the next command comes to, whichever node and connection the proxy picks for it. */
+/** Finds the connection on which the next command arrives, whichever node and connection the proxy chooses. */
 final class Arrivals {
-    private static final long WAIT_NS = 10_000_000_000L;
+    private static final long TIMEOUT_NS = 10_000_000_000L;
 
     private final Fixture fixture;
-    private final Map<Peer, Integer> peers = new LinkedHashMap<>();
+    private final Map<Peer, Integer> nodeByConnection = new LinkedHashMap<>();
 
     Arrivals(Fixture fixture) {
         this.fixture = fixture;
@@ -20,47 +20,47 @@
         return nextOr(null);
     }
 
-    /** Waits for bytes at any node, or for this client, which is then returned. */
+    /** Waits for bytes at any node or at this client, and returns the one that received them. */
     Peer nextOr(Peer client) throws IOException {
-        for (long end = System.nanoTime() + WAIT_NS; System.nanoTime() < end; Thread.onSpinWait()) {
-            for (int i = 0; i < fixture.nodes.size(); i++) {
-                for (Peer p = fixture.nodes.get(i).poll();
-                        p != null;
-                        p = fixture.nodes.get(i).poll()) {
-                    peers.put(p, i);
+        for (long deadlineNs = System.nanoTime() + TIMEOUT_NS; System.nanoTime() < deadlineNs; Thread.onSpinWait()) {
+            for (int nodeIndex = 0; nodeIndex < fixture.nodes.size(); nodeIndex++) {
+                for (Peer connection = fixture.nodes.get(nodeIndex).poll();
+                        connection != null;
+                        connection = fixture.nodes.get(nodeIndex).poll()) {
+                    nodeByConnection.put(connection, nodeIndex);
                 }
             }
-            for (Peer p : peers.keySet()) {
-                if (!p.socket.isClosed() && p.ready()) {
-                    return p;
+            for (Peer connection : nodeByConnection.keySet()) {
+                if (!connection.socket.isClosed() && connection.ready()) {
+                    return connection;
                 }
             }
             if (client != null && client.ready()) {
                 return client;
             }
         }
-        throw new AssertionError("nothing came to any node");
+        throw new AssertionError("no command arrived at any node");
     }
 
-    /** The same, also at a node's connection that the test has taken itself. */
-    Peer nextOr(Peer client, Peer known) throws IOException {
-        peers.put(known, 0);
+    /** Same as above, also for a node's connection that the test has accepted itself. */
+    Peer nextOr(Peer client, Peer acceptedConnection) throws IOException {
+        nodeByConnection.put(acceptedConnection, 0);
         return nextOr(client);
     }
 
-    /** The node at which this connection came. */
-    int node(Peer p) {
-        return peers.get(p);
+    /** The index of the node that accepted this connection. */
+    int node(Peer connection) {
+        return nodeByConnection.get(connection);
     }
 
-    /** Reads a whole command and returns its id, as in {@code Oa1}. */
+    /** Reads a complete command and returns its opaque id token, such as {@code Oa1}. */
     static String command(Peer node) throws IOException {
         String line = node.line();
         if (line == null) {
-            throw new AssertionError("the connection ended before a command");
+            throw new AssertionError("the connection was closed before a command arrived");
         }
         if (line.startsWith("ms ")) {
-            node.line(); // no value here has a line end in it
+            node.line(); // skips the value, which never contains a line end in these tests
         }
         return line.split(" ")[3];
     }
--- a/proxy/src/test/java/cacheproxy/server/BadClientsTest.java
+++ b/proxy/src/test/java/cacheproxy/server/BadClientsTest.java
@@ -8,60 +8,61 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** Clients that say nothing, stop half-way, flood or lie: they end, and the usual ones are served on. */
+/** Clients that are silent, stop inside a command, flood or send invalid input are closed; others are still served. */
 @Timeout(60)
 class BadClientsTest {
-    private static void served(Fixture f, Peer client, String id) throws Exception {
+    private static void assertServed(Fixture fixture, Peer client, String id) throws Exception {
         client.send(Fixture.read(id, 4000));
-        Peer node = f.nodes.get(0).next();
+        Peer node = fixture.nodes.get(0).next();
         assertTrue(node.line().startsWith("mg 7f3a9c21e0b4d655 v O" + id + " "));
         node.send("VA 1 O" + id + "\r\n1\r\n");
         client.expect("VA 1 O" + id, "1");
         node.close();
     }
 
-    private static void greeted(Peer client) throws Exception {
+    private static void assertReady(Peer client) throws Exception {
         client.send("mn\r\n");
         client.expect("MN");
     }
 
-    /** The connection ends, perhaps after it was told why. */
-    private static void ends(Peer p) throws Exception {
-        String line = p.line();
+    /** The connection is closed, possibly after an error line. */
+    private static void assertCloses(Peer connection) throws Exception {
+        String line = connection.line();
         if (line != null) {
             assertEquals("CLIENT_ERROR the command does not end", line);
-            p.expectEnd();
+            connection.expectEnd();
         }
     }
 
-    /** Danger: connections that say nothing would hold their descriptors for good. */
+    /** Guards against descriptors that are held forever by connections on which the client sends nothing. */
     @Test
-    void aConnectionThatSaysNothingIsClosed() throws Exception {
-        try (Fixture f = new Fixture(1)) {
-            f.client().expectEnd();
+    void closesConnectionThatSendsNothing() throws Exception {
+        try (Fixture fixture = new Fixture(1)) {
+            fixture.client().expectEnd();
         }
     }
 
     @Test
-    void aConnectionThatStopsInsideItsFirstCommandIsClosed() throws Exception {
-        try (Fixture f = new Fixture(1)) {
-            Peer line = f.client();
-            Peer value = f.client();
+    void closesConnectionThatStopsInsideItsFirstCommand() throws Exception {
+        try (Fixture fixture = new Fixture(1)) {
+            Peer line = fixture.client();
+            Peer value = fixture.client();
             line.send("mg 7f3a9c2");
             value.send("ms 7f3a9c21e0b4d655 5 Oa1 Pc=charge,t=acme,d=900,k=1\r\nhel");
-            ends(line);
-            ends(value);
+            assertCloses(line);
+            assertCloses(value);
         }
     }
 
     @Test
-    void aKnownClientThatStopsInsideACommandIsToldSoAndItsOpenRequestIsStillAnswered() throws Exception {
-        try (Fixture f = new Fixture(1)) {
-            Peer client = f.client();
+    void answersOpenRequestThenReportsIncompleteCommandAndCloses() throws Exception {
+        try (Fixture fixture = new Fixture(1)) {
+            Peer client = fixture.client();
             client.send(Fixture.read("a1", 4900) + "ms 7f3a9c21e0b4d655 5 Oa2 Pc=charge,t=acme,d=900,k=1\r\nhe");
-            Peer node = f.nodes.get(0).next();
+            Peer node = fixture.nodes.get(0).next();
             node.line();
-            Peer idle = f.client(); // opened after it: once this one is gone its time has passed too
+            // opened later, so when this one is closed the timeout of the other has passed too
+            Peer idle = fixture.client();
             idle.expectEnd();
             node.send("VA 1 Oa1\r\n1\r\n");
             client.expect("VA 1 Oa1", "1", "CLIENT_ERROR the command does not end");
@@ -69,116 +70,116 @@
         }
     }
 
-    /** Danger: a flood of silent connections would push out those that are in use. */
+    /** Guards against connections in use being closed to make room for a flood of silent connections. */
     @Test
-    void aFloodOfSilentConnectionsPushesOutNoneThatHasAsked() throws Exception {
-        try (Fixture f = new Fixture(1, s -> s, 128)) { // 40 of them are for clients
-            List<Peer> usual = new ArrayList<>();
+    void silentConnectionsDoNotEvictEstablishedOnes() throws Exception {
+        try (Fixture fixture = new Fixture(1, s -> s, 128)) { // allows 40 client connections
+            List<Peer> established = new ArrayList<>();
             for (int i = 0; i < 30; i++) {
-                Peer p = f.client();
-                greeted(p);
-                usual.add(p);
+                Peer connection = fixture.client();
+                assertReady(connection);
+                established.add(connection);
             }
-            Peer first = f.client();
+            Peer silent = fixture.client();
             for (int i = 0; i < 200; i++) {
-                f.client();
+                fixture.client();
             }
-            first.expectEnd();
-            for (int i = 0; i < usual.size(); i++) {
-                served(f, usual.get(i), "a" + i);
+            silent.expectEnd();
+            for (int i = 0; i < established.size(); i++) {
+                assertServed(fixture, established.get(i), "a" + i);
             }
         }
     }
 
-    /** Danger: connections that ask once and stay would fill all that clients may open, and few asked again. */
+    /** Guards against connections that send one request and stay open using up all client connections. */
     @Test
-    void thoseThatAskOnceAndStayMakeRoomBeforeOneThatHasComeBack() throws Exception {
-        try (Fixture f = new Fixture(1, s -> s, 128)) { // 32 of them are for clients that have asked
-            Peer usual = f.client();
-            greeted(usual);
-            greeted(usual);
-            List<Peer> once = new ArrayList<>();
+    void closesConnectionsUsedOnceBeforeReusedOnes() throws Exception {
+        try (Fixture fixture = new Fixture(1, s -> s, 128)) { // allows 32 established client connections
+            Peer established = fixture.client();
+            assertReady(established);
+            assertReady(established);
+            List<Peer> usedOnce = new ArrayList<>();
             for (int i = 0; i < 60; i++) {
-                Peer p = f.client();
-                greeted(p);
-                once.add(p);
+                Peer connection = fixture.client();
+                assertReady(connection);
+                usedOnce.add(connection);
             }
             for (int i = 0; i < 60 - 31; i++) {
-                once.get(i).expectEnd();
+                usedOnce.get(i).expectEnd();
             }
-            greeted(once.get(59));
-            served(f, usual, "a1");
+            assertReady(usedOnce.get(59));
+            assertServed(fixture, established, "a1");
         }
     }
 
-    /** Danger: a connection closed for room in the middle of a read loses what the decoder still has of it. */
+    /** Guards against losing undecoded commands of a connection that is closed to make room in the middle of a read. */
     @Test
-    void commandsReadTogetherAreAllAnsweredAlsoWhereRoomIsMade() throws Exception {
-        try (Fixture f = new Fixture(1, s -> s, 128)) { // 32 of them are for clients that have asked
+    void answersAllCommandsOfOneReadWhileConnectionsAreClosedToMakeRoom() throws Exception {
+        try (Fixture fixture = new Fixture(1, s -> s, 128)) { // allows 32 established client connections
             for (int i = 0; i < 38; i++) {
-                Peer p = f.client();
-                p.send("mn\r\nmn\r\nmn\r\n");
-                p.expect("MN", "MN", "MN");
+                Peer connection = fixture.client();
+                connection.send("mn\r\nmn\r\nmn\r\n");
+                connection.expect("MN", "MN", "MN");
             }
-            Peer last = f.client();
-            last.send("mn\r\nmg x\r\nmn\r\n");
-            last.expect("MN", "CLIENT_ERROR O and P are needed", "MN");
+            Peer newest = fixture.client();
+            newest.send("mn\r\nmg x\r\nmn\r\n");
+            newest.expect("MN", "CLIENT_ERROR O and P are needed", "MN");
         }
     }
 
-    /** Danger: passed on, it could bring one client the value that was made for another. */
+    /** Guards against forwarding a duplicate id, whose response could reach the wrong client. */
     @Test
-    void theIdOfAnotherOpenRequestIsTurnedAwayAndMayBeUsedOnceThatHasEnded() throws Exception {
-        try (Fixture f = new Fixture(1)) {
-            Peer client = f.client();
-            Peer thief = f.client();
+    void rejectsIdOfAnotherOpenRequestUntilThatIsAnswered() throws Exception {
+        try (Fixture fixture = new Fixture(1)) {
+            Peer client = fixture.client();
+            Peer otherClient = fixture.client();
             client.send(Fixture.read("a1", 4000));
-            Peer node = f.nodes.get(0).next();
+            Peer node = fixture.nodes.get(0).next();
             assertTrue(node.line().contains(" Oa1 "));
-            thief.send(Fixture.read("a1", 4000));
-            thief.expect("CLIENT_ERROR the id is in use");
+            otherClient.send(Fixture.read("a1", 4000));
+            otherClient.expect("CLIENT_ERROR the id is in use");
             node.send("VA 1 Oa1\r\n1\r\n");
             client.expect("VA 1 Oa1", "1");
             node.close();
-            served(f, thief, "a1");
+            assertServed(fixture, otherClient, "a1");
         }
     }
 
-    /** Danger: tried at each node in turn, one bad request counts against all of them. */
+    /** Guards against retrying one bad request at each node, where it would count as a failure of all of them. */
     @Test
-    void whatANodeCannotUseIsNotTriedAtAnother() throws Exception {
-        try (Fixture f = new Fixture(2)) {
-            Peer client = f.client();
+    void doesNotRetryRequestThatANodeRejectsAsInvalid() throws Exception {
+        try (Fixture fixture = new Fixture(2)) {
+            Peer client = fixture.client();
             client.send(Fixture.read("a1", 4000));
-            while (f.nodes.get(0).count() + f.nodes.get(1).count() == 0) {
+            while (fixture.nodes.get(0).count() + fixture.nodes.get(1).count() == 0) {
                 Thread.onSpinWait();
             }
-            Peer node = f.nodes.get(f.nodes.get(0).count() == 1 ? 0 : 1).next();
+            Peer node = fixture.nodes.get(fixture.nodes.get(0).count() == 1 ? 0 : 1).next();
             node.line();
             node.send("CLIENT_ERROR bad request\r\n");
             client.expect("CLIENT_ERROR bad request");
             node.expectEnd();
-            assertEquals(1, f.nodes.get(0).count() + f.nodes.get(1).count());
+            assertEquals(1, fixture.nodes.get(0).count() + fixture.nodes.get(1).count());
         }
     }
 
-    /** Danger: a client that sends on behind what it was turned away for would be read from without end. */
+    /** Guards against reading endlessly from a client that goes on sending after its command was rejected. */
     @Test
-    void whatFollowsALostFramingIsNotRead() throws Exception {
-        try (Fixture f = new Fixture(1)) {
-            Peer client = f.client();
+    void doesNotReadOnAfterFramingIsLost() throws Exception {
+        try (Fixture fixture = new Fixture(1)) {
+            Peer client = fixture.client();
             client.send("ms 7f3a9c21e0b4d655 60000000 Oa1 Pc=charge,t=acme,d=900,k=1\r\n");
             client.expect("CLIENT_ERROR object too large");
-            byte[] piece = new byte[1 << 16];
-            int sent = 0;
+            byte[] chunk = new byte[1 << 16];
+            int sentChunks = 0;
             try {
-                for (; sent < 900; sent++) {
-                    client.socket.getOutputStream().write(piece);
+                for (; sentChunks < 900; sentChunks++) {
+                    client.socket.getOutputStream().write(chunk);
                 }
             } catch (java.net.SocketException e) {
-                // closed on it
+                // the proxy closed the connection
             }
-            assertTrue(sent < 900, "60 MB were read");
+            assertTrue(sentChunks < 900, "60 MB were read");
         }
     }
 }
--- a/proxy/src/test/java/cacheproxy/server/ControlTest.java
+++ b/proxy/src/test/java/cacheproxy/server/ControlChannelTest.java
@@ -37,12 +37,12 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** The control channel of a real process, its lock on its name, and what bad clients of it cost: nothing. */
+/** The control channel of a real process, the lock on its name, and misbehaving clients of the control channel. */
 @Timeout(90)
-class ControlTest {
+class ControlChannelTest {
     private static final int REPLY_MS = 10_000;
-    /** Descriptors for 32 connections, 16 that are taken together and turned away, and some for its own. */
-    private static final int MOST_MORE = 32 + 16 + 8;
+    /** Descriptors for 32 connections, 16 that are accepted together and rejected, and 8 for the process itself. */
+    private static final int MAX_ADDITIONAL_DESCRIPTORS = 32 + 16 + 8;
 
     private AnsweringDiscovery discovery;
     private Peer.Listener node;
@@ -54,7 +54,7 @@
     void open() throws IOException {
         node = new Peer.Listener();
         discovery = new AnsweringDiscovery(known());
-        folder = Files.createTempDirectory("control"); // with mode 700
+        folder = Files.createTempDirectory("control"); // with mode 700, as the control channel requires
         socket = folder.resolve("n0.sock");
     }
 
@@ -70,22 +70,22 @@
     }
 
     private Child.Start with(String variable, String value) {
-        Child.Start how = new Child.Start();
-        how.env = new HashMap<>(Map.of("LB_CONTROL", socket.toString(), "LB_SECRET", "s3cret"));
-        how.env.put(variable, value);
-        return how;
+        Child.Start startOptions = new Child.Start();
+        startOptions.env = new HashMap<>(Map.of("LB_CONTROL", socket.toString(), "LB_SECRET", "s3cret"));
+        startOptions.env.put(variable, value);
+        return startOptions;
     }
 
     private String known() {
         return Fixture.list(1, true, Fixture.entry(0, "SERVING", node));
     }
 
-    private Child started(Child.Start how) throws IOException {
-        return how.with(discovery.listener, known());
+    private Child startChild(Child.Start startOptions) throws IOException {
+        return startOptions.with(discovery.listener, known());
     }
 
-    private Child started() throws IOException {
-        return started(with("LB_SECRET", "s3cret"));
+    private Child startChild() throws IOException {
+        return startChild(with("LB_SECRET", "s3cret"));
     }
 
     private Map<String, Object> call(String op) throws IOException {
@@ -98,33 +98,33 @@
         return ControlClient.call(socket, request, REPLY_MS);
     }
 
-    /** The first status for which this holds. */
-    private Map<String, Object> status(Child child, String what, Predicate<Map<String, Object>> holds)
+    /** Polls the status until it matches {@code condition}, and returns it. */
+    private Map<String, Object> status(Child child, String description, Predicate<Map<String, Object>> condition)
             throws InterruptedException {
         Map<String, Object> last = new HashMap<>();
-        child.until(what, () -> {
+        child.until(description, () -> {
             try {
                 last.clear();
                 last.putAll(call("status"));
-                return holds.test(last);
+                return condition.test(last);
             } catch (IOException e) {
-                return false; // it does not listen yet
+                return false; // the control channel is not listening yet
             }
         });
         return last;
     }
 
-    private Map<String, Object> in(Child child, String phase) throws InterruptedException {
+    private Map<String, Object> awaitPhase(Child child, String phase) throws InterruptedException {
         return status(child, "to be " + phase, s -> phase.equals(s.get("phase")));
     }
 
-    @SuppressWarnings("unchecked") // a reply's objects have names for keys
+    @SuppressWarnings("unchecked") // objects in a reply are maps with string keys
     private static Map<String, Object> at(Map<String, Object> reply, String... path) {
-        Map<String, Object> here = reply;
+        Map<String, Object> current = reply;
         for (String name : path) {
-            here = (Map<String, Object>) here.get(name);
+            current = (Map<String, Object>) current.get(name);
         }
-        return here;
+        return current;
     }
 
     private static String digest(Path file) throws Exception {
@@ -132,18 +132,18 @@
         return HexFormat.of().formatHex(hash).substring(0, 16);
     }
 
-    /** The connection to the node on which a command with this id has come, wherever that is. */
-    private Peer arrived(Child child, String id) throws Exception {
-        Peer[] at = new Peer[1];
+    /** Waits for the command with this id at the node, and returns the connection on which it arrived. */
+    private Peer awaitArrival(Child child, String id) throws Exception {
+        Peer[] arrived = new Peer[1];
         child.until("to send " + id, () -> {
             for (Peer p = node.poll(); p != null; p = node.poll()) {
                 connections.add(p);
             }
-            at[0] = connections.stream().filter(ControlTest::ready).findFirst().orElse(null);
-            return at[0] != null;
+            arrived[0] = connections.stream().filter(ControlChannelTest::ready).findFirst().orElse(null);
+            return arrived[0] != null;
         });
-        assertEquals("O" + id, Arrivals.command(at[0]));
-        return at[0];
+        assertEquals("O" + id, Arrivals.command(arrived[0]));
+        return arrived[0];
     }
 
     private static boolean ready(Peer p) {
@@ -154,26 +154,26 @@
         }
     }
 
-    /** Asks, and has the node answer with this line. */
-    private void answered(Child child, Peer client, String request, String id, String line) throws Exception {
+    /** Sends a request, and lets the node respond with this line. */
+    private void assertAnswered(Child child, Peer client, String request, String id, String line) throws Exception {
         client.send(request);
-        arrived(child, id).send(line + "\r\n");
+        awaitArrival(child, id).send(line + "\r\n");
         client.expect(line);
     }
 
-    private void served(Child child, Peer client, String id) throws Exception {
+    private void assertServed(Child child, Peer client, String id) throws Exception {
         client.send(Fixture.read(id, 4000));
-        arrived(child, id).send("VA 1 O" + id + "\r\n1\r\n");
+        awaitArrival(child, id).send("VA 1 O" + id + "\r\n1\r\n");
         client.expect("VA 1 O" + id, "1");
     }
 
-    // ---- who it is ----
+    // ---- operation hello ----
 
-    /** Danger: a process that was given the pid of another is taken for it, and stopped in its place. */
+    /** Guards against stopping the wrong process after a pid has been reused. */
     @Test
-    void helloTellsWhoItIsAndProvesIt() throws Exception {
-        try (Child child = started()) {
-            in(child, "ready");
+    void helloReturnsIdentityWithProof() throws Exception {
+        try (Child child = startChild()) {
+            awaitPhase(child, "ready");
             Map<String, Object> hello = hello("n1");
             assertEquals(
                     Set.of("v", "ok", "end", "name", "build", "pid", "startTicks", "bootId", "proof"), hello.keySet());
@@ -182,17 +182,17 @@
             String stat = Files.readString(Path.of("/proc/" + child.process.pid() + "/stat"));
             String ticks = stat.substring(stat.lastIndexOf(')')).split(" ")[20];
             assertEquals(ticks, hello.get("startTicks").toString());
-            String boot =
+            String bootId =
                     Files.readString(Path.of("/proc/sys/kernel/random/boot_id")).strip();
-            assertEquals(boot, hello.get("bootId"));
+            assertEquals(bootId, hello.get("bootId"));
             Mac mac = Mac.getInstance("HmacSHA256");
             mac.init(new SecretKeySpec("s3cret".getBytes(StandardCharsets.UTF_8), "HmacSHA256"));
             byte[] proof = mac.doFinal("n0\nn1".getBytes(StandardCharsets.UTF_8));
             assertEquals(HexFormat.of().formatHex(proof), hello.get("proof"));
             assertNotEquals(hello.get("proof"), hello("n2").get("proof"));
-            for (Object bad : new Object[] {"", "x".repeat(257), 7, List.of("n1"), true}) {
+            for (Object invalidNonce : new Object[] {"", "x".repeat(257), 7, List.of("n1"), true}) {
                 Map<String, Object> request = ControlCodec.request("hello");
-                request.put("nonce", bad);
+                request.put("nonce", invalidNonce);
                 Map<String, Object> reply = ControlClient.call(socket, request, REPLY_MS);
                 assertTrue(reply.get("error").toString().startsWith("nonce: "), reply.toString());
             }
@@ -201,24 +201,24 @@
     }
 
     @Test
-    void withoutASecretNothingIsProved() throws Exception {
-        try (Child child = started(with("LB_SECRET", ""))) {
-            in(child, "ready");
+    void helloReturnsNoProofWithoutSecret() throws Exception {
+        try (Child child = startChild(with("LB_SECRET", ""))) {
+            awaitPhase(child, "ready");
             assertFalse(hello("n1").containsKey("proof"));
         }
     }
 
     @Test
-    void anUnknownOperationNamesThoseThatThereAre() throws Exception {
-        try (Child child = started()) {
-            in(child, "ready");
+    void unknownOperationListsSupportedOnes() throws Exception {
+        try (Child child = startChild()) {
+            awaitPhase(child, "ready");
             assertEquals(
                     "no such operation: stop; there are hello, status, reload, drain",
                     call("stop").get("error"));
         }
     }
 
-    // ---- how it is ----
+    // ---- operation status ----
 
     private static Map<String, Object> counts(int served, int missed, int rejected, int left) {
         return Map.of(
@@ -226,11 +226,11 @@
     }
 
     @Test
-    void statusTellsAllOfIt() throws Exception {
+    void statusReportsIdentityEndpointsAndCounts() throws Exception {
         String known = Fixture.list(1, true, Fixture.entry(0, "SERVING", node), Fixture.entry(1, "DRAINING", node));
         discovery.holds(known);
         try (Child child = with("LB_SECRET", "s3cret").with(discovery.listener, known)) {
-            Map<String, Object> first = in(child, "ready");
+            Map<String, Object> first = awaitPhase(child, "ready");
             assertEquals(
                     Set.of(
                             "v",
@@ -259,21 +259,21 @@
             assertEquals(
                     Set.of("lookup", "charge", "submit"), at(first, "classes").keySet());
             assertEquals(Set.of("acme"), at(first, "tenants").keySet());
-            assertEquals(counts(0, 0, 0, 0), first.get("answered"), "what warms it up is nobody's request");
+            assertEquals(counts(0, 0, 0, 0), first.get("answered"), "warm-up requests are not counted");
 
             Peer client = child.client();
-            served(child, client, "a1");
-            answered(child, client, Fixture.read("a2", 4000), "a2", "EN");
-            answered(child, client, Fixture.write("charge", "a3", 4000), "a3", "CLIENT_ERROR bad request");
-            Peer leaver = child.client();
-            leaver.send(Fixture.read("a4", 4000));
+            assertServed(child, client, "a1");
+            assertAnswered(child, client, Fixture.read("a2", 4000), "a2", "EN");
+            assertAnswered(child, client, Fixture.write("charge", "a3", 4000), "a3", "CLIENT_ERROR bad request");
+            Peer closingClient = child.client();
+            closingClient.send(Fixture.read("a4", 4000));
             Map<String, Object> open =
-                    status(child, "to have one open", s -> s.get("open").equals(1));
+                    status(child, "to have one open request", s -> s.get("open").equals(1));
             assertEquals(2, open.get("clients"));
-            leaver.close();
+            closingClient.close();
             Map<String, Object> last = status(
                     child,
-                    "to have counted all",
+                    "to have counted all requests",
                     s -> s.get("clients").equals(1)
                             && at(s, "answered").get("left").equals(1));
             assertEquals(counts(1, 1, 1, 1), last.get("answered"));
@@ -284,60 +284,60 @@
         }
     }
 
-    private static void free(Closeable held) throws IOException {
+    private static void release(Closeable held) throws IOException {
         held.close();
     }
 
     @Test
-    void whileItCannotListenItIsStartingAndWhileItDrainsItSaysSo() throws Exception {
+    void statusReportsStartingUntilListeningAndDrainingDuringShutdown() throws Exception {
         try (ServerSocket held = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
-            Child.Start how = with("LB_SECRET", "s3cret");
-            how.port = held.getLocalPort();
-            try (Child child = started(how)) {
+            Child.Start startOptions = with("LB_SECRET", "s3cret");
+            startOptions.port = held.getLocalPort();
+            try (Child child = startChild(startOptions)) {
                 child.loads("java.net.BindException");
                 assertEquals("starting", call("status").get("phase"));
-                free(held);
-                in(child, "ready");
+                release(held);
+                awaitPhase(child, "ready");
                 Peer client = child.greeted();
                 client.send(Fixture.read("a1", 4000));
-                Peer at = arrived(child, "a1");
+                Peer nodeConnection = awaitArrival(child, "a1");
                 child.signal("TERM");
-                assertEquals(1, in(child, "draining").get("open"));
-                at.send("VA 1 Oa1\r\n1\r\n");
+                assertEquals(1, awaitPhase(child, "draining").get("open"));
+                nodeConnection.send("VA 1 Oa1\r\n1\r\n");
                 client.expect("VA 1 Oa1", "1");
                 assertEquals(0, child.ends(6));
             }
         }
     }
 
-    /** Danger: a process that is stopped takes the connection and the request, and is waited for for good. */
+    /** Guards against waiting forever for a stopped process: the kernel still accepts connection and request. */
     @Test
-    void aStoppedProcessAnswersNothingAndTheClientGivesUp() throws Exception {
-        try (Child child = started()) {
-            in(child, "ready");
+    void clientTimesOutOnStoppedProcess() throws Exception {
+        try (Child child = startChild()) {
+            awaitPhase(child, "ready");
             child.signal("STOP");
-            IOException late = assertThrows(
+            IOException timeout = assertThrows(
                     IOException.class, () -> ControlClient.call(socket, ControlCodec.request("status"), 300));
-            assertEquals("no reply in time", late.getMessage());
+            assertEquals("no reply in time", timeout.getMessage());
             child.signal("CONT");
             assertEquals("ready", call("status").get("phase"));
         }
     }
 
-    // ---- a new configuration ----
+    // ---- operation reload ----
 
-    /** Danger: whoever asked for it is told of a file that is not the one in use. */
+    /** Guards against replying with the digest of a file that is not the configuration in use. */
     @Test
-    void aReloadTellsWhatWasTakenAlsoWhereTheFileChangesAgainAtOnce() throws Exception {
-        try (Child child = started()) {
-            Map<String, Object> before = at(in(child, "ready"), "configuration");
-            String usual = Files.readString(child.config);
+    void reloadReportsAppliedConfigurationEvenIfFileChangesAgain() throws Exception {
+        try (Child child = startChild()) {
+            Map<String, Object> before = at(awaitPhase(child, "ready"), "configuration");
+            String original = Files.readString(child.config);
             Set<Object> digests = new java.util.HashSet<>(Set.of(before.get("digest")));
             for (int i = 2; i < 12; i++) {
-                Files.writeString(child.config, usual.replace("\"maxAttempts\":4", "\"maxAttempts\":" + i));
+                Files.writeString(child.config, original.replace("\"maxAttempts\":4", "\"maxAttempts\":" + i));
                 String digest = digest(child.config);
                 Map<String, Object> reply = call("reload");
-                Files.writeString(child.config, usual + " ".repeat(i)); // not asked for
+                Files.writeString(child.config, original + " ".repeat(i)); // not followed by a reload request
                 assertEquals(true, reply.get("ok"));
                 assertEquals(i, reply.get("generation"));
                 assertEquals(digest, reply.get("digest"));
@@ -345,18 +345,18 @@
                 assertEquals(digest, at(call("status"), "configuration").get("digest"));
                 digests.add(digest);
             }
-            assertEquals(10, digests.size(), "one is as at the start");
+            assertEquals(10, digests.size(), "one of them equals the configuration at the start");
             assertNull(call("status").get("refused"));
         }
     }
 
-    /** Danger: refused without a reason, or told as taken, it is found out at the next start. */
+    /** Guards against an invalid configuration that is noticed only at the next start. */
     @Test
-    void aReloadThatIsRefusedNamesTheFieldAndTheOldOneStays() throws Exception {
-        try (Child child = started()) {
-            Map<String, Object> before = at(in(child, "ready"), "configuration");
-            String usual = Files.readString(child.config);
-            Files.writeString(child.config, usual.replace("\"sockets\":1024", "\"sockets\":7"));
+    void refusedReloadNamesFieldAndKeepsConfiguration() throws Exception {
+        try (Child child = startChild()) {
+            Map<String, Object> before = at(awaitPhase(child, "ready"), "configuration");
+            String original = Files.readString(child.config);
+            Files.writeString(child.config, original.replace("\"sockets\":1024", "\"sockets\":7"));
             Map<String, Object> reply = call("reload");
             assertEquals(false, reply.get("ok"));
             assertTrue(reply.get("error").toString().contains("limits.sockets"), reply.toString());
@@ -367,31 +367,31 @@
                     status.get("refused"));
 
             Files.writeString(child.config, "{\"name\":");
-            child.signal("HUP"); // by whatever way it came
-            child.until("to tell of it", () -> {
+            child.signal("HUP"); // reported no matter how the reload was requested
+            child.until("to report the refused configuration", () -> {
                 try {
-                    String why = at(call("status"), "refused").get("reason").toString();
-                    return why.contains("is not a JSON object");
+                    String reason = at(call("status"), "refused").get("reason").toString();
+                    return reason.contains("is not a JSON object");
                 } catch (IOException e) {
                     throw new AssertionError(e);
                 }
             });
             Files.delete(child.config);
             assertTrue(call("reload").get("error").toString().contains("cannot be read"));
-            Files.writeString(child.config, usual);
+            Files.writeString(child.config, original);
             assertEquals(2, call("reload").get("generation"));
-            served(child, child.greeted(), "a1");
+            assertServed(child, child.greeted(), "a1");
         }
     }
 
-    // ---- the end ----
+    // ---- operation drain ----
 
     @Test
-    void aDrainTellsHowFarItIsUntilTheEndToAllWhoAskedForIt() throws Exception {
-        try (Child child = started()) {
+    void drainReportsProgressToAllRequesters() throws Exception {
+        try (Child child = startChild()) {
             Peer client = child.greeted();
             client.send(Fixture.read("a1", 4000));
-            Peer at = arrived(child, "a1");
+            Peer nodeConnection = awaitArrival(child, "a1");
             try (RawClient first = new RawClient(socket);
                     RawClient second = new RawClient(socket)) {
                 first.send("{\"v\":1,\"op\":\"drain\",\"id\":\"d\"}\n");
@@ -399,8 +399,8 @@
                 assertEquals(Map.of("v", 1, "id", "d", "ok", true, "open", 1, "clients", 1, "end", false), progress);
                 second.send("{\"v\":1,\"op\":\"drain\"}\n");
                 assertEquals(1, second.reply().get("open"));
-                served(child, child.greeted(), "a2"); // for a while it serves on
-                at.send("VA 1 Oa1\r\n1\r\n");
+                assertServed(child, child.greeted(), "a2"); // new connections are still served for a while
+                nodeConnection.send("VA 1 Oa1\r\n1\r\n");
                 client.expect("VA 1 Oa1", "1");
                 for (RawClient c : List.of(first, second)) {
                     Map<String, Object> reply = c.reply();
@@ -413,14 +413,14 @@
                 }
             }
             assertEquals(0, child.ends(6));
-            assertFalse(Files.exists(socket), "it leaves no socket behind");
+            assertFalse(Files.exists(socket), "the socket was not removed at exit");
         }
     }
 
     @Test
-    void aDrainWithNothingOpenEndsItAndSaysThatAllIsDone() throws Exception {
-        try (Child child = started()) {
-            in(child, "ready");
+    void drainWithoutOpenRequestsCompletes() throws Exception {
+        try (Child child = startChild()) {
+            awaitPhase(child, "ready");
             try (RawClient client = new RawClient(socket)) {
                 Map<String, Object> reply = client.ask("{\"v\":1,\"op\":\"drain\"}");
                 while (Boolean.FALSE.equals(reply.get("end"))) {
@@ -432,59 +432,61 @@
         }
     }
 
-    // ---- clients that behave badly ----
+    // ---- misbehaving clients of the control channel ----
 
-    /** What one does until it is told that it is over, again and again. */
-    private interface Bad {
-        void once(AtomicBoolean over, AtomicInteger done) throws IOException;
+    /** One round of misbehaviour, repeated until {@code stop} is set; counts {@code completedRounds}. */
+    private interface Misbehaviour {
+        void once(AtomicBoolean stop, AtomicInteger completedRounds) throws IOException;
     }
 
-    private long descriptors(Child child) throws IOException {
+    private long countDescriptors(Child child) throws IOException {
         try (Stream<Path> all = Files.list(Path.of("/proc/" + child.process.pid() + "/fd"))) {
             return all.count();
         }
     }
 
-    /** Each request is answered while it goes on, and afterwards nothing is left of it. */
-    private void servesOn(int rounds, Bad bad) throws Exception {
-        Child.Start how = with("JAVA_TOOL_OPTIONS", "-Xmx80m -XX:MaxDirectMemorySize=16m"); // as it is run
-        try (Child child = started(how)) {
-            in(child, "ready");
+    /** Checks that requests are served during the misbehaviour, and that its descriptors are released afterwards. */
+    private void assertServesDuring(int rounds, Misbehaviour misbehaviour) throws Exception {
+        Child.Start startOptions = with("JAVA_TOOL_OPTIONS", "-Xmx80m -XX:MaxDirectMemorySize=16m"); // as in production
+        try (Child child = startChild(startOptions)) {
+            awaitPhase(child, "ready");
             Peer client = child.greeted();
-            served(child, client, "a");
-            long before = descriptors(child);
-            long most = before;
-            AtomicBoolean over = new AtomicBoolean();
-            AtomicInteger done = new AtomicInteger();
-            List<Throwable> wrong = new ArrayList<>();
+            assertServed(child, client, "a");
+            long before = countDescriptors(child);
+            long maxDescriptors = before;
+            AtomicBoolean stop = new AtomicBoolean();
+            AtomicInteger completedRounds = new AtomicInteger();
+            List<Throwable> failures = new ArrayList<>();
             Thread thread = new Thread(() -> {
-                while (!over.get()) {
+                while (!stop.get()) {
                     try {
-                        bad.once(over, done);
+                        misbehaviour.once(stop, completedRounds);
                     } catch (IOException e) {
-                        done.incrementAndGet(); // it was turned away
+                        completedRounds.incrementAndGet(); // the control channel closed the connection
                     } catch (Throwable e) {
-                        wrong.add(e);
+                        failures.add(e);
                         return;
                     }
                 }
             });
             thread.start();
-            for (int i = 0; i < rounds || done.get() == 0; i++) {
-                served(child, client, "a" + i);
-                assertTrue(wrong.isEmpty(), wrong.toString());
-                most = Math.max(most, descriptors(child));
+            for (int i = 0; i < rounds || completedRounds.get() == 0; i++) {
+                assertServed(child, client, "a" + i);
+                assertTrue(failures.isEmpty(), failures.toString());
+                maxDescriptors = Math.max(maxDescriptors, countDescriptors(child));
             }
-            over.set(true);
+            stop.set(true);
             thread.join();
-            assertTrue(most <= before + MOST_MORE, most + " descriptors where " + before + " were used");
-            assertEquals(List.of(), wrong);
-            Map<String, Object> status = status(child, "to answer again", s -> s.containsKey("phase"));
+            assertTrue(
+                    maxDescriptors <= before + MAX_ADDITIONAL_DESCRIPTORS,
+                    maxDescriptors + " descriptors, " + before + " before the misbehaviour");
+            assertEquals(List.of(), failures);
+            Map<String, Object> status = status(child, "to answer status again", s -> s.containsKey("phase"));
             assertEquals("ready", status.get("phase"));
             assertEquals(0, at(status, "answered").get("failed"));
-            child.until("to have let them go", () -> {
+            child.until("to have released the descriptors", () -> {
                 try {
-                    return descriptors(child) <= before + 1;
+                    return countDescriptors(child) <= before + 1;
                 } catch (IOException e) {
                     throw new AssertionError(e);
                 }
@@ -496,14 +498,14 @@
     }
 
     @Test
-    void itServesOnWhileAClientHangs() throws Exception {
-        servesOn(300, (over, done) -> {
+    void servesWhileClientsHang() throws Exception {
+        assertServesDuring(300, (stop, completedRounds) -> {
             try (RawClient silent = new RawClient(socket);
                     RawClient half = new RawClient(socket)) {
                 silent.send("");
                 half.send("{\"v\":1,\"op\":\"sta");
-                done.incrementAndGet();
-                while (!over.get()) {
+                completedRounds.incrementAndGet();
+                while (!stop.get()) {
                     Thread.onSpinWait();
                 }
             }
@@ -511,25 +513,25 @@
     }
 
     @Test
-    void itServesOnWhileAClientFloodsItWithRequests() throws Exception {
+    void servesDuringFloodOfRequests() throws Exception {
         String all = "{\"v\":1,\"op\":\"status\"}\n".repeat(200) + "{\"v\":1,\"op\":\"stop\"}\n".repeat(200);
-        servesOn(300, (over, done) -> {
+        assertServesDuring(300, (stop, completedRounds) -> {
             try (RawClient flood = new RawClient(socket)) {
-                while (!over.get()) {
+                while (!stop.get()) {
                     flood.send(all);
                     for (int i = 0; i < 400; i++) {
                         assertEquals(i < 200, flood.reply().get("ok"));
                     }
-                    done.incrementAndGet();
+                    completedRounds.incrementAndGet();
                 }
             }
         });
     }
 
     @Test
-    void itServesOnWhileAClientFloodsItWithReloads() throws Exception {
+    void servesDuringFloodOfReloads() throws Exception {
         String all = "{\"v\":1,\"op\":\"reload\"}\n".repeat(100);
-        servesOn(300, (over, done) -> {
+        assertServesDuring(300, (stop, completedRounds) -> {
             try (RawClient flood = new RawClient(socket)) {
                 flood.send(all);
                 for (int i = 0, last = 1; i < 100; i++) {
@@ -537,17 +539,17 @@
                     assertTrue(generation > last);
                     last = generation;
                 }
-                done.incrementAndGet();
+                completedRounds.incrementAndGet();
             }
         });
     }
 
     @Test
-    void itServesOnWhileAClientSendsNonsenseAsFastAsItCan() throws Exception {
+    void servesDuringFloodOfInvalidLines() throws Exception {
         String nonsense = "\u0000]x{\n".repeat(20_000);
-        servesOn(300, (over, done) -> {
+        assertServesDuring(300, (stop, completedRounds) -> {
             try (RawClient c = new RawClient(socket)) {
-                while (!over.get()) {
+                while (!stop.get()) {
                     c.send(nonsense);
                 }
             }
@@ -555,21 +557,21 @@
     }
 
     @Test
-    void itServesOnWhileALineHasNoEnd() throws Exception {
+    void servesDuringEndlessLine() throws Exception {
         String piece = "x".repeat(1 << 18);
-        servesOn(300, (over, done) -> {
+        assertServesDuring(300, (stop, completedRounds) -> {
             try (RawClient c = new RawClient(socket)) {
-                while (!over.get()) {
+                while (!stop.get()) {
                     c.send(piece);
                 }
             }
         });
     }
 
-    /** Danger: what they do not take fills the heap of the process that serves. */
+    /** Guards against unread replies filling the heap of the proxy process. */
     @Test
-    void itServesOnWhileThirtyClientsNeverReadTheirReplies() throws Exception {
-        servesOn(300, (over, done) -> {
+    void servesWhileThirtyClientsDoNotReadReplies() throws Exception {
+        assertServesDuring(300, (stop, completedRounds) -> {
             List<RawClient> deaf = new ArrayList<>();
             List<ByteBuffer> out = new ArrayList<>();
             try {
@@ -577,11 +579,11 @@
                     deaf.add(new RawClient(socket));
                     out.add(StandardCharsets.UTF_8.encode("{\"v\":1,\"op\":\"status\"}\n".repeat(100_000)));
                 }
-                while (!over.get()) {
+                while (!stop.get()) {
                     for (int i = 0; i < deaf.size(); i++) {
                         deaf.get(i).offer(out.get(i));
                     }
-                    done.incrementAndGet();
+                    completedRounds.incrementAndGet();
                 }
             } finally {
                 for (RawClient c : deaf) {
@@ -592,8 +594,8 @@
     }
 
     @Test
-    void itServesOnWhileAHundredConnectAtOnce() throws Exception {
-        servesOn(300, (over, done) -> {
+    void servesWhileHundredClientsConnectAtOnce() throws Exception {
+        assertServesDuring(300, (stop, completedRounds) -> {
             List<Closeable> all = new ArrayList<>();
             try {
                 for (int i = 0; i < 100; i++) {
@@ -602,10 +604,10 @@
                     try {
                         c.send("{\"v\":1,\"op\":\"status\"}\n");
                     } catch (IOException e) {
-                        // turned away already
+                        // already rejected
                     }
                 }
-                done.incrementAndGet();
+                completedRounds.incrementAndGet();
             } finally {
                 for (Closeable c : all) {
                     c.close();
@@ -614,11 +616,11 @@
         });
     }
 
-    // ---- the place and the name ----
+    // ---- socket path and lock on the name ----
 
-    /** It ends at once, with this code and one line, which is returned. */
-    private String endsWith(int code, Child.Start how) throws Exception {
-        try (Child child = started(how)) {
+    /** Checks that the process exits with this code after logging a single line, and returns the line. */
+    private String assertExits(int code, Child.Start startOptions) throws Exception {
+        try (Child child = startChild(startOptions)) {
             assertEquals(code, child.ends(20), child.said.toString());
             assertEquals(1, child.said.size(), child.said.toString());
             assertTrue(child.said.get(0).startsWith("cacheproxy: "), child.said.toString());
@@ -626,58 +628,58 @@
         }
     }
 
-    private List<String> files() throws IOException {
+    private List<String> filesInFolder() throws IOException {
         try (Stream<Path> all = Files.list(folder)) {
             return all.map(p -> p.getFileName().toString()).sorted().toList();
         }
     }
 
     @Test
-    void aPathThatIsTooLongEndsItWithOneLineThatNamesTheLength() throws Exception {
+    void exitsWithLengthOfTooLongSocketPath() throws Exception {
         String longest =
                 folder.resolve("x".repeat(108 - folder.toString().length() - 1)).toString();
-        String said = endsWith(2, with("LB_CONTROL", longest));
-        assertTrue(said.contains("too long, 108 bytes"), said);
-        assertEquals(List.of(), files());
+        String exitLine = assertExits(2, with("LB_CONTROL", longest));
+        assertTrue(exitLine.contains("too long, 108 bytes"), exitLine);
+        assertEquals(List.of(), filesInFolder());
     }
 
     @Test
-    void aPathThatNamesNoFileEndsItWithOneLine() throws Exception {
-        assertTrue(endsWith(2, with("LB_CONTROL", "/")).contains("LB_CONTROL"));
+    void exitsIfSocketPathNamesNoFile() throws Exception {
+        assertTrue(assertExits(2, with("LB_CONTROL", "/")).contains("LB_CONTROL"));
     }
 
     @Test
-    void aFolderThatLetsOthersInEndsItWithOneLineAndNothingIsLeftThere() throws Exception {
+    void exitsAndLeavesNoFileIfFolderIsAccessibleToOthers() throws Exception {
         Files.setPosixFilePermissions(folder, PosixFilePermissions.fromString("rwxr-xr-x"));
-        String said = endsWith(2, with("LB_SECRET", "s3cret"));
-        assertTrue(said.contains("rwxr-xr-x") && said.contains("700"), said);
-        assertTrue(said.contains(folder.toString()), said);
-        assertEquals(List.of(), files());
+        String exitLine = assertExits(2, with("LB_SECRET", "s3cret"));
+        assertTrue(exitLine.contains("rwxr-xr-x") && exitLine.contains("700"), exitLine);
+        assertTrue(exitLine.contains(folder.toString()), exitLine);
+        assertEquals(List.of(), filesInFolder());
     }
 
-    /** Danger: the lock makes the folder first, open to all, and the socket is then refused in it. */
+    /** Guards against the lock creating the folder with open permissions, which the control channel then rejects. */
     @Test
-    void aFolderThatIsNotThereIsMadeForItsOwnerAlone() throws Exception {
+    void createsMissingFolderForOwnerOnly() throws Exception {
         socket = folder.resolve("run").resolve("n0.sock");
-        try (Child child = started(with("LB_CONTROL", socket.toString()))) {
-            in(child, "ready");
+        try (Child child = startChild(with("LB_CONTROL", socket.toString()))) {
+            awaitPhase(child, "ready");
             assertEquals("rwx------", PosixFilePermissions.toString(Files.getPosixFilePermissions(socket.getParent())));
         }
     }
 
-    /** Danger: two of one name answer for each other, and an agent that counts one has two. */
+    /** Guards against two processes with one name, which an agent would count as one instance. */
     @Test
-    void asLongAsOneLivesASecondOfItsNameEndsWithACodeOfItsOwn() throws Exception {
-        try (Child first = started()) {
+    void secondProcessOfSameNameExitsWithDistinctCode() throws Exception {
+        try (Child first = startChild()) {
             Peer client = first.greeted();
-            served(first, client, "a1");
+            assertServed(first, client, "a1");
             for (int i = 0; i < 2; i++) {
-                String said = endsWith(3, with("LB_SECRET", "s3cret"));
+                String exitLine = assertExits(3, with("LB_SECRET", "s3cret"));
                 String held = "the name n0 is held by another process (pid " + first.process.pid() + ")";
-                assertTrue(said.contains(held), said);
-                served(first, client, "b" + i);
+                assertTrue(exitLine.contains(held), exitLine);
+                assertServed(first, client, "b" + i);
                 assertEquals(first.process.pid(), ((Number) call("status").get("pid")).longValue());
-                // a lock that nothing holds on to is given back with the garbage
+                // a lock that is not referenced would be released by garbage collection
                 String jcmd =
                         Path.of(System.getProperty("java.home"), "bin", "jcmd").toString();
                 Process gc = new ProcessBuilder(jcmd, Long.toString(first.process.pid()), "GC.run")
@@ -689,12 +691,12 @@
         }
     }
 
-    /** Danger: a crash leaves a socket and a lock file behind, and the restart fails on them. */
+    /** Guards against a restart that fails because a crash has left a socket and a lock file behind. */
     @Test
-    void afterSigkillTheNameIsFreeAndTheDeadSocketIsReplaced() throws Exception {
+    void releasesNameAndReplacesStaleSocketAfterSigkill() throws Exception {
         for (int i = 0; i < 2; i++) {
-            try (Child child = started()) {
-                in(child, "ready");
+            try (Child child = startChild()) {
+                awaitPhase(child, "ready");
                 assertEquals(child.process.pid(), ((Number) hello("n").get("pid")).longValue());
                 child.signal("KILL");
                 assertEquals(137, child.ends(10));
@@ -703,48 +705,49 @@
         }
     }
 
-    /** Danger: the file of somebody else is removed for a dead socket. */
+    /** Guards against removing a foreign file in the belief that it is a stale socket. */
     @Test
-    void aFileInThePlaceOfTheSocketEndsItWithOneLineAndIsLeftAlone() throws Exception {
+    void exitsAndKeepsFileAtSocketPath() throws Exception {
         Files.writeString(socket, "kept");
-        assertTrue(endsWith(2, with("LB_SECRET", "s3cret")).contains("no socket"));
+        assertTrue(assertExits(2, with("LB_SECRET", "s3cret")).contains("no socket"));
         assertEquals("kept", Files.readString(socket));
     }
 
-    // ---- without it ----
+    // ---- classes that are not loaded ----
 
-    /** Danger: the start of those who do not ask for it gets slower, and a socket is there. */
+    /** Guards against a slower start and an unwanted socket if the control channel is not configured. */
     @Test
-    void withoutTheVariableThereIsNoSocketNoLockAndNoClassOfIt() throws Exception {
+    void createsNoSocketAndLoadsNoControlClassWithoutVariable() throws Exception {
         for (Map<String, String> env : List.of(Map.<String, String>of(), Map.of("LB_CONTROL", " "))) {
-            Child.Start how = new Child.Start();
-            how.env = env;
-            try (Child child = started(how)) {
-                served(child, child.greeted(), "a1");
+            Child.Start startOptions = new Child.Start();
+            startOptions.env = env;
+            try (Child child = startChild(startOptions)) {
+                assertServed(child, child.greeted(), "a1");
                 int before = child.said.size();
                 child.signal("HUP");
                 child.says(before, "configuration taken");
                 child.signal("TERM");
                 assertEquals(0, child.ends(6));
                 String classes = child.classes();
-                assertTrue(classes.contains(" cacheproxy.server.ProxyProcess source:"), "the classes are seen");
+                assertTrue(
+                        classes.contains(" cacheproxy.server.ProxyProcess source:"), "no loaded classes were recorded");
                 assertFalse(classes.contains(" cacheproxy.control."), "with " + env);
                 assertFalse(classes.contains(" cacheproxy.server.ControlChannel "), "with " + env);
                 assertFalse(classes.contains(" cacheproxy.control.InstanceLock "), "with " + env);
-                assertEquals(List.of(), files());
+                assertEquals(List.of(), filesInFolder());
             }
         }
     }
 
-    /** Danger: remote access to agents makes the starts of instances slower. */
+    /** Guards against a slower start of instances because of the agents' remote access, which uses TLS. */
     @Test
-    void withTheVariableThereIsNoClassOfTls() throws Exception {
-        try (Child child = started()) {
-            in(child, "ready");
+    void loadsNoTlsClassWithControlChannel() throws Exception {
+        try (Child child = startChild()) {
+            awaitPhase(child, "ready");
             child.signal("TERM");
             assertEquals(0, child.ends(6));
             String classes = child.classes();
-            assertTrue(classes.contains(" cacheproxy.control.ControlServer "), "the classes are seen");
+            assertTrue(classes.contains(" cacheproxy.control.ControlServer "), "no loaded classes were recorded");
             for (String no : List.of(
                     " cacheproxy.control.Tls", " javax.net.ssl.", " sun.security.ssl.", " io.netty.handler.ssl.")) {
                 assertFalse(classes.contains(no), no);
@@ -752,13 +755,15 @@
         }
     }
 
-    /** Danger: Netty warns by the JDK's logging, which writes on the loop and opens files of its own. */
+    /** Guards against Netty using the JDK's logging, which writes on the event loop and opens its own files. */
     @Test
-    void nettyHasOurLogBeforeItsFirstClassIsUsed() throws Exception {
-        try (Child child = started()) {
-            in(child, "ready");
-            served(child, child.greeted(), "a1");
-            assertTrue(child.classes().contains(" io.netty.bootstrap.ServerBootstrap "), "they are seen");
+    void installsNettyLoggerBeforeNettyClassesAreUsed() throws Exception {
+        try (Child child = startChild()) {
+            awaitPhase(child, "ready");
+            assertServed(child, child.greeted(), "a1");
+            assertTrue(
+                    child.classes().contains(" io.netty.bootstrap.ServerBootstrap "),
+                    "no loaded classes were recorded");
             assertFalse(child.classes().contains(" java.util.logging.Logger "), "the JDK's logging is used");
         }
     }
--- a/proxy/src/test/java/cacheproxy/server/NoSocketTest.java
+++ b/proxy/src/test/java/cacheproxy/server/DescriptorExhaustionTest.java
@@ -22,21 +22,21 @@
 import org.junit.jupiter.api.Timeout;
 
 /**
- * The system has no descriptor for a connection. Danger: Netty then has no channel either, and tells of it on a thread
- * of its own: the module, which belongs to the loop, is called by two threads at once.
+ * No file descriptor is left for a connection. Guards against calls of the router from two threads: without a channel,
+ * Netty reports the failure on a thread of its own instead of the event loop.
  */
 @Timeout(60)
-class NoSocketTest {
+class DescriptorExhaustionTest {
     private record Line(String text, boolean onLoop) {}
 
     @Test
-    void whatComesOfItIsDealtWithOnTheLoopAndTheNextConnectionIsMade() throws Exception {
+    void handlesConnectFailureOnEventLoopAndConnectsLater() throws Exception {
         EventLoop loop = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory()).next();
-        BlockingQueue<Line> said = new LinkedBlockingQueue<>();
-        AtomicBoolean none = new AtomicBoolean(true);
-        HostEnvironment machine = new HostEnvironment(
+        BlockingQueue<Line> logLines = new LinkedBlockingQueue<>();
+        AtomicBoolean descriptorsExhausted = new AtomicBoolean(true);
+        HostEnvironment host = new HostEnvironment(
                 () -> {
-                    if (none.get()) {
+                    if (descriptorsExhausted.get()) {
                         throw new ChannelException("Too many open files");
                     }
                     return new NioSocketChannel();
@@ -52,20 +52,20 @@
             ProxyServer proxy = ProxyServer.create(
                     ProxyConfiguration.load(Fixture.env(file, discovery.address())),
                     loop,
-                    machine,
-                    new Log(System::nanoTime, text -> said.add(new Line(text, loop.inEventLoop()))),
-                    module -> module);
+                    host,
+                    new Log(System::nanoTime, text -> logLines.add(new Line(text, loop.inEventLoop()))),
+                    router -> router);
             proxy.open();
             try (Peer client = Peer.to(proxy.address())) {
                 client.send(Fixture.write("charge", "c1", 4000));
-                assertTrue(client.line().startsWith("SERVER_ERROR busy")); // nothing was written
-                Line line = said.poll(10, TimeUnit.SECONDS);
+                assertTrue(client.line().startsWith("SERVER_ERROR busy")); // rejected, since no command was written
+                Line line = logLines.poll(10, TimeUnit.SECONDS);
                 while (line != null && !line.text().contains("discovery: ")) {
-                    line = said.poll(10, TimeUnit.SECONDS);
+                    line = logLines.poll(10, TimeUnit.SECONDS);
                 }
-                assertTrue(line != null && line.onLoop(), "told by another thread than the loop: " + line);
-                none.set(false);
-                asked(client, node);
+                assertTrue(line != null && line.onLoop(), "logged by another thread than the event loop: " + line);
+                descriptorsExhausted.set(false);
+                assertEventuallyForwarded(client, node);
             }
             discovery.next();
         } finally {
@@ -74,8 +74,8 @@
         }
     }
 
-    /** Asks for one key after the other until one comes to the node: it may be passed over for some of them. */
-    private static void asked(Peer client, Peer.Listener node) throws Exception {
+    /** Requests one key after the other until one arrives at the node, which the router may skip for some of them. */
+    private static void assertEventuallyForwarded(Peer client, Peer.Listener node) throws Exception {
         for (int i = 0; i < 100; i++) {
             client.send(Fixture.read("a" + i, 4000).replace("7f3a9c21e0b4d655", "a" + i));
             while (!client.ready() && node.count() == 0) {
@@ -87,6 +87,6 @@
             }
             assertTrue(client.line().startsWith("SERVER_ERROR busy"));
         }
-        throw new AssertionError("refused each time");
+        throw new AssertionError("all requests were rejected");
     }
 }
--- a/proxy/src/test/java/cacheproxy/server/PauseTest.java
+++ b/proxy/src/test/java/cacheproxy/server/EventLoopStallTest.java
@@ -9,66 +9,69 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** The loop stands still, as when the processor is taken away or much is compiled at once. */
+/** The event loop stalls, as when the process gets no CPU time or a lot is compiled at once. */
 @Timeout(60)
-class PauseTest {
+class EventLoopStallTest {
     private static final int REQUESTS = 30;
-    private static final int WAIT_MS = 700;
+    private static final int DEADLINE_MS = 700;
 
-    private final List<Peer> nodes = new ArrayList<>();
+    private final List<Peer> nodeConnections = new ArrayList<>();
 
-    private void sent(Fixture f, Peer client, int i, int waitMs) throws Exception {
-        client.send(Fixture.read("a" + i, waitMs));
-        Peer node = f.nodes.get(0).next();
+    private void sendAndAwaitArrival(Fixture fixture, Peer client, int i, int deadlineMs) throws Exception {
+        client.send(Fixture.read("a" + i, deadlineMs));
+        Peer node = fixture.nodes.get(0).next();
         assertTrue(node.line().contains(" Oa" + i + " "));
-        nodes.add(node);
+        nodeConnections.add(node);
     }
 
-    /** Danger: told as failures of the node and the load, one pause made the module refuse for seconds. */
+    /**
+ * Guards against timeouts of a stall being attributed to the endpoint or to overload: one stall once made the router
+ * reject requests for seconds.
+ */
     @Test
-    void whatRanOutOfTimeMeanwhileDoesNotMakeTheProxyRefuseLater() throws Exception {
-        try (Fixture f = new Fixture(1)) {
+    void timeoutsDuringEventLoopStallDoNotCauseLaterRejections() throws Exception {
+        try (Fixture fixture = new Fixture(1)) {
             List<Peer> clients = new ArrayList<>();
             for (int i = 0; i < REQUESTS; i++) {
-                clients.add(f.client());
+                clients.add(fixture.client());
             }
             CountDownLatch paused = new CountDownLatch(1);
-            CountDownLatch on = new CountDownLatch(1);
+            CountDownLatch resume = new CountDownLatch(1);
             for (int i = 0; i < REQUESTS; i++) {
-                sent(f, clients.get(i), i, 3000);
+                sendAndAwaitArrival(fixture, clients.get(i), i, 3000);
             }
             for (int i = 0; i < REQUESTS; i++) {
-                nodes.get(i).send("VA 1 Oa" + i + "\r\n1\r\n");
+                nodeConnections.get(i).send("VA 1 Oa" + i + "\r\n1\r\n");
                 clients.get(i).expect("VA 1 Oa" + i, "1");
             }
-            // all at once on connections that are up, so that they are out when the loop stops
+            // all at once on established connections, so that they are in flight when the event loop stops
             for (int i = 0; i < REQUESTS; i++) {
-                clients.get(i).send(Fixture.read("b" + i, WAIT_MS));
+                clients.get(i).send(Fixture.read("b" + i, DEADLINE_MS));
             }
-            for (Peer node : nodes) {
+            for (Peer node : nodeConnections) {
                 assertTrue(node.line().contains(" Ob"));
             }
-            f.loop.execute(() -> {
+            fixture.loop.execute(() -> {
                 paused.countDown();
                 try {
-                    on.await();
+                    resume.await();
                 } catch (InterruptedException e) {
                     Thread.currentThread().interrupt();
                 }
             });
             paused.await();
             long start = System.nanoTime();
-            while (System.nanoTime() - start < TimeUnit.MILLISECONDS.toNanos(2 * WAIT_MS)) {
-                Thread.onSpinWait(); // until all of them are over by far
+            while (System.nanoTime() - start < TimeUnit.MILLISECONDS.toNanos(2 * DEADLINE_MS)) {
+                Thread.onSpinWait(); // until all deadlines have long passed
             }
-            on.countDown();
+            resume.countDown();
             for (Peer client : clients) {
                 assertTrue(client.line().startsWith("SERVER_ERROR "));
             }
             for (int i = 0; i < REQUESTS; i++) {
                 Peer client = clients.get(i);
                 client.send(Fixture.read("c" + i, 3000));
-                Peer node = f.nodes.get(0).next();
+                Peer node = fixture.nodes.get(0).next();
                 assertTrue(node.line().contains(" Oc" + i + " "));
                 node.send("VA 1 Oc" + i + "\r\n1\r\n");
                 client.expect("VA 1 Oc" + i, "1");
--- a/proxy/src/test/java/cacheproxy/server/Fixture.java
+++ b/proxy/src/test/java/cacheproxy/server/Fixture.java
@@ -22,7 +22,7 @@
 import java.util.function.Function;
 import java.util.function.UnaryOperator;
 
-/** A proxy on an ephemeral loopback port, with scripted cache nodes and a scripted discovery. */
+/** A proxy on an ephemeral loopback port with scripted cache nodes and a scripted discovery service. */
 final class Fixture implements Closeable {
     static final String SETTINGS = """
         {"index":0,"balancers":1,"az":0,"domainType":"cache","familyInfo":{"mode":"through","originKind":-1},
@@ -54,70 +54,70 @@
         this(nodeCount, s -> s, 1024);
     }
 
-    Fixture(int nodeCount, Function<String, String> change, int sockets) throws IOException {
-        this(nodeCount, change, sockets, Fixture::allServing);
+    Fixture(int nodeCount, Function<String, String> changeSettings, int sockets) throws IOException {
+        this(nodeCount, changeSettings, sockets, Fixture::allServing);
     }
 
-    /** {@code known}: the list that the configuration holds. */
-    Fixture(int nodeCount, Function<String, String> change, int sockets, Function<Fixture, String> known)
+    /** @param known returns the endpoint list in the configuration */
+    Fixture(int nodeCount, Function<String, String> changeSettings, int sockets, Function<Fixture, String> known)
             throws IOException {
-        this(nodeCount, change, sockets, known, module -> module);
+        this(nodeCount, changeSettings, sockets, known, router -> router);
     }
 
-    /** {@code wrap}: what stands between the proxy and its module. */
+    /** @param wrap wraps the proxy's router */
     Fixture(
             int nodeCount,
-            Function<String, String> change,
+            Function<String, String> changeSettings,
             int sockets,
             Function<Fixture, String> known,
             UnaryOperator<RequestRouter> wrap)
             throws IOException {
-        this(nodeCount, change, sockets, known, wrap, HostEnvironment.real());
+        this(nodeCount, changeSettings, sockets, known, wrap, HostEnvironment.real());
     }
 
     Fixture(
             int nodeCount,
-            Function<String, String> change,
+            Function<String, String> changeSettings,
             int sockets,
             Function<Fixture, String> known,
             UnaryOperator<RequestRouter> wrap,
-            HostEnvironment machine)
+            HostEnvironment host)
             throws IOException {
-        this(nodeCount, change, sockets, known, wrap, machine, false);
+        this(nodeCount, changeSettings, sockets, known, wrap, host, false);
     }
 
-    /** A proxy that answers no greeting before discovery has told its list, as one that has just started. */
+    /** A proxy that, like one just started, does not answer {@code mn} before discovery has sent its endpoint list. */
     static Fixture waitingForTheFirstList(int nodeCount) throws IOException {
         return new Fixture(
-                nodeCount, s -> s, 1024, Fixture::allServing, module -> module, HostEnvironment.real(), true);
+                nodeCount, s -> s, 1024, Fixture::allServing, router -> router, HostEnvironment.real(), true);
     }
 
     private Fixture(
             int nodeCount,
-            Function<String, String> change,
+            Function<String, String> changeSettings,
             int sockets,
             Function<Fixture, String> known,
             UnaryOperator<RequestRouter> wrap,
-            HostEnvironment machine,
-            boolean waits)
+            HostEnvironment host,
+            boolean awaitsFirstList)
             throws IOException {
         for (int i = 0; i < nodeCount; i++) {
             nodes.add(new Peer.Listener());
         }
         Path file = Files.createTempFile("config", ".json");
-        Files.writeString(file, json(known.apply(this), change.apply(SETTINGS), sockets));
+        Files.writeString(file, json(known.apply(this), changeSettings.apply(SETTINGS), sockets));
         loop = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory()).next();
         config = ProxyConfiguration.load(env(file, discovery.address()));
-        proxy = start(config, loop, wrap, machine);
-        if (!waits) {
+        proxy = start(config, loop, wrap, host);
+        if (!awaitsFirstList) {
             servesTheKnownList(proxy, loop);
         }
         Files.delete(file);
     }
 
     /**
-     * Where the start is not what a test is about, and its discovery answers nobody: as though that took no
-     * connections, in which case a greeting is not held.
+     * Makes the proxy ready with the endpoint list of its configuration, as if discovery were unreachable. For tests
+     * that are not about the start and whose discovery does not respond.
      */
     static void servesTheKnownList(ProxyServer proxy, EventLoop loop) {
         loop.submit(proxy::discoveryUnreachable).syncUninterruptibly();
@@ -128,19 +128,19 @@
     }
 
     private static ProxyServer start(
-            ProxyConfiguration config, EventLoop loop, UnaryOperator<RequestRouter> wrap, HostEnvironment machine) {
-        ProxyServer proxy = ProxyServer.create(config, loop, machine, log(), wrap);
+            ProxyConfiguration config, EventLoop loop, UnaryOperator<RequestRouter> wrap, HostEnvironment host) {
+        ProxyServer proxy = ProxyServer.create(config, loop, host, log(), wrap);
         proxy.open();
         return proxy;
     }
 
-    /** One whose kernel takes about so many bytes for a node that does not read. */
+    /** An environment whose sockets buffer only about {@code bytes} for a node that does not read. */
     static HostEnvironment holdsLittle(int bytes) {
         return new HostEnvironment(
                 () -> {
-                    NioSocketChannel ch = new NioSocketChannel();
-                    ch.config().setOption(ChannelOption.SO_SNDBUF, bytes);
-                    return ch;
+                    NioSocketChannel channel = new NioSocketChannel();
+                    channel.config().setOption(ChannelOption.SO_SNDBUF, bytes);
+                    return channel;
                 },
                 NioServerSocketChannel::new,
                 System::currentTimeMillis);
@@ -162,9 +162,9 @@
     }
 
     static String json(String known, String settings, int sockets) {
-        // settings that let requests share connections are there to test that
-        String shared = settings.contains("\"multiplex\":1,") ? "" : ",\"node_connections\":1";
-        return "{\"name\":\"n0\",\"seed\":\"8c1f30d27a5be964\",\"limits\":{\"sockets\":" + sockets + shared
+        // with multiplexing, allow only one connection per node, so that requests share it
+        String connectionLimit = settings.contains("\"multiplex\":1,") ? "" : ",\"node_connections\":1";
+        return "{\"name\":\"n0\",\"seed\":\"8c1f30d27a5be964\",\"limits\":{\"sockets\":" + sockets + connectionLimit
                 + "},\"known\":" + known + ",\"settings\":" + settings + "}";
     }
 
@@ -172,8 +172,8 @@
         return entry(node, state, nodes.get(node));
     }
 
-    static String entry(int node, String state, Peer.Listener at) {
-        return "{\"id\":\"s-" + node + "\",\"addr\":\"" + at.address() + "\",\"zone\":\"east\","
+    static String entry(int node, String state, Peer.Listener listener) {
+        return "{\"id\":\"s-" + node + "\",\"addr\":\"" + listener.address() + "\",\"zone\":\"east\","
                 + "\"kind\":\"full\",\"cell\":1,\"state\":\"" + state + "\",\"weight\":1.0,\"started_ms\":0}";
     }
 
@@ -182,41 +182,41 @@
     }
 
     Peer client() throws IOException {
-        Peer p = Peer.to(proxy.address());
-        clients.add(p);
-        return p;
+        Peer connection = Peer.to(proxy.address());
+        clients.add(connection);
+        return connection;
     }
 
-    /** The watch that the module asked for, its request read and its answer begun. */
+    /** Accepts the router's watch, reads its request and sends the head of the response. */
     Peer watch() throws IOException, InterruptedException {
         return watch(discovery);
     }
 
     static Peer watch(Peer.Listener discovery) throws IOException, InterruptedException {
-        Peer p = discovery.next();
-        for (String line = p.line(); !line.isEmpty(); line = p.line()) {
-            // the request's lines
+        Peer connection = discovery.next();
+        for (String line = connection.line(); !line.isEmpty(); line = connection.line()) {
+            // skip the request header
         }
-        p.send("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
-        return p;
+        connection.send("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
+        return connection;
     }
 
     static void chunk(Peer watch, String... lines) throws IOException {
-        StringBuilder all = new StringBuilder();
+        StringBuilder allLines = new StringBuilder();
         for (String line : lines) {
-            all.append(Integer.toHexString(line.length() + 1))
+            allLines.append(Integer.toHexString(line.length() + 1))
                     .append("\r\n")
                     .append(line)
                     .append("\n\r\n");
         }
-        watch.send(all.toString());
+        watch.send(allLines.toString());
     }
 
-    /** Tells these lists, and waits until the proxy has taken in the last of them. */
+    /** Sends these lists and waits until the proxy has processed the last of them. */
     static void toldAndEnded(Peer watch, String... lines) throws IOException {
-        String[] all = Arrays.copyOf(lines, lines.length + 1);
-        all[lines.length] = "{}"; // no list: it ends the watch, after those before it were taken in
-        chunk(watch, all);
+        String[] allLines = Arrays.copyOf(lines, lines.length + 1);
+        allLines[lines.length] = "{}"; // invalid: ends the watch after the lists before it were processed
+        chunk(watch, allLines);
         watch.expectEnd();
     }
 
@@ -224,17 +224,17 @@
         return "mg 7f3a9c21e0b4d655 v O" + id + " Pc=lookup,t=acme,d=" + waitMs + "\r\n";
     }
 
-    static String write(String cls, String id, int waitMs) {
-        return "ms 7f3a9c21e0b4d655 5 O" + id + " Pc=" + cls + ",t=acme,d=" + waitMs + ",k=5c0f\r\nhello\r\n";
+    static String write(String requestClass, String id, int waitMs) {
+        return "ms 7f3a9c21e0b4d655 5 O" + id + " Pc=" + requestClass + ",t=acme,d=" + waitMs + ",k=5c0f\r\nhello\r\n";
     }
 
     @Override
     public void close() throws IOException {
-        for (Peer p : clients) {
-            p.close();
+        for (Peer connection : clients) {
+            connection.close();
         }
-        for (Peer.Listener n : nodes) {
-            n.close();
+        for (Peer.Listener node : nodes) {
+            node.close();
         }
         discovery.close();
         loop.parent().shutdownGracefully(0, 1, TimeUnit.SECONDS);
--- a/proxy/src/test/java/cacheproxy/server/FirstAnswerTest.java
+++ b/proxy/src/test/java/cacheproxy/server/HedgedResponseTest.java
@@ -6,37 +6,40 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** Danger: two answers for one request: the second replaces the first, or stands where the next is due. */
+/**
+ * Guards against two responses for one hedged request, where the second replaces the first or takes the place of the
+ * next request's response.
+ */
 @Timeout(60)
-class FirstAnswerTest {
-    /** Two copies are out and neither may be withdrawn; the first answer waits behind an earlier request. */
+class HedgedResponseTest {
+    /** Both attempts are in flight and neither may be cancelled; the first response waits behind an earlier request. */
     @Test
-    void theFirstOfTwoCopiesIsTheAnswerAndTheSecondChangesNothing() throws Exception {
-        try (Fixture f = new Fixture(
+    void firstResponseOfHedgedRequestWinsAndSecondIsIgnored() throws Exception {
+        try (Fixture fixture = new Fixture(
                 2,
                 s -> s.replace("\"secondCopies\":false", "\"secondCopies\":true")
                         .replace("\"mayCancel\":true", "\"mayCancel\":false"),
                 1024)) {
-            Arrivals at = new Arrivals(f);
-            Peer client = f.client();
-            for (int i = 0; i < 50; i++) { // earns what one copy costs
+            Arrivals arrivals = new Arrivals(fixture);
+            Peer client = fixture.client();
+            for (int i = 0; i < 50; i++) { // earns the budget for one hedged request
                 client.send(Fixture.read("u" + i, 4000).replace("7f3a9c21e0b4d655", "a" + i));
-                Peer node = at.next();
+                Peer node = arrivals.next();
                 assertEquals("Ou" + i, Arrivals.command(node));
                 node.send("VA 1 Ou" + i + "\r\n1\r\n");
                 client.expect("VA 1 Ou" + i, "1");
             }
             client.send(Fixture.write("charge", "c1", 4900));
-            Peer charge = at.next();
+            Peer charge = arrivals.next();
             assertEquals("Oc1", Arrivals.command(charge));
             client.send(Fixture.read("a1", 4900));
-            Peer first = at.next();
+            Peer first = arrivals.next();
             assertEquals("Oa1", Arrivals.command(first));
-            Peer second = at.next(); // a part of its aim later
+            Peer second = arrivals.next(); // sent after part of the latency objective has passed
             assertEquals("Oa1", Arrivals.command(second));
-            assertNotSame(at.node(first), at.node(second));
-            answered(second, "2");
-            answered(first, "1");
+            assertNotSame(arrivals.node(first), arrivals.node(second));
+            respondAndAwaitClose(second, "2");
+            respondAndAwaitClose(first, "1");
             charge.send("HD Oc1 c7\r\n");
             client.expect("HD Oc1 c7", "VA 1 Oa1", "2");
             client.send("mn\r\n");
@@ -44,8 +47,8 @@
         }
     }
 
-    /** The connection ends for what stands behind the answer, which has then been taken in. */
-    private static void answered(Peer node, String value) throws Exception {
+    /** Responds with surplus bytes behind the response; once they close the connection, the response has been read. */
+    private static void respondAndAwaitClose(Peer node, String value) throws Exception {
         node.send("VA 1 Oa1\r\n" + value + "\r\nsurplus\r\n");
         node.expectEnd();
     }
--- a/proxy/src/test/java/cacheproxy/server/Held.java
+++ b/proxy/src/test/java/cacheproxy/server/Held.java
@@ -3,25 +3,25 @@
 import io.netty.channel.EventLoop;
 import java.util.concurrent.CountDownLatch;
 
-/** Holds a loop while a test lays out what it finds next, in the order in which it comes. */
+/** Blocks an event loop until closed, so that a test can prepare the events that it finds next, in their order. */
 final class Held implements AutoCloseable {
-    private final CountDownLatch on = new CountDownLatch(1);
+    private final CountDownLatch released = new CountDownLatch(1);
 
     Held(EventLoop loop) throws InterruptedException {
-        CountDownLatch held = new CountDownLatch(1);
+        CountDownLatch blocked = new CountDownLatch(1);
         loop.execute(() -> {
-            held.countDown();
+            blocked.countDown();
             try {
-                on.await();
+                released.await();
             } catch (InterruptedException e) {
                 Thread.currentThread().interrupt();
             }
         });
-        held.await();
+        blocked.await();
     }
 
     @Override
     public void close() {
-        on.countDown();
+        released.countDown();
     }
 }
--- a/proxy/src/test/java/cacheproxy/server/HeldRequest.java
+++ b/proxy/src/test/java/cacheproxy/server/HeldRequest.java
@@ -5,20 +5,20 @@
 import java.lang.reflect.InvocationTargetException;
 import java.util.concurrent.CountDownLatch;
 
-/** Holds the loop in the middle of its reading: as it hands a request of {@link #SIZE} to the module. */
+/** Blocks the event loop in the middle of reading, when it passes a request of {@link #SIZE} to the router. */
 final class HeldRequest {
-    /** For {@code P}. */
+    /** Field for the {@code P} token that marks the request. */
     static final String SIZE = "size=7,";
 
-    private final CountDownLatch held = new CountDownLatch(1);
-    private final CountDownLatch on = new CountDownLatch(1);
+    private final CountDownLatch blocked = new CountDownLatch(1);
+    private final CountDownLatch released = new CountDownLatch(1);
 
     RequestRouter wrap(RequestRouter inner) {
         return (RequestRouter) java.lang.reflect.Proxy.newProxyInstance(
-                HeldRequest.class.getClassLoader(), new Class<?>[] {RequestRouter.class}, (self, method, args) -> {
+                HeldRequest.class.getClassLoader(), new Class<?>[] {RequestRouter.class}, (proxy, method, args) -> {
                     if (method.getName().equals("onRequest") && ((RoutingRequest) args[1]).sizeBytes == 7) {
-                        held.countDown();
-                        on.await();
+                        blocked.countDown();
+                        released.await();
                     }
                     try {
                         return method.invoke(inner, args);
@@ -29,10 +29,10 @@
     }
 
     void await() throws InterruptedException {
-        held.await();
+        blocked.await();
     }
 
     void goOn() {
-        on.countDown();
+        released.countDown();
     }
 }
--- a/proxy/src/test/java/cacheproxy/server/EventErrorTest.java
+++ b/proxy/src/test/java/cacheproxy/server/RouterErrorTest.java
@@ -29,36 +29,36 @@
 import org.junit.jupiter.api.Timeout;
 
 /**
- * Danger: after one Error inside an event no later event was delivered: every request failed at its deadline, and
- * {@code mn} was still answered {@code MN}.
+ * Guards against an exception or Error in the router that stops the delivery of all later events. Every request then
+ * failed at its deadline, while {@code mn} was still answered {@code MN}.
  */
 @Timeout(60)
-class EventErrorTest {
+class RouterErrorTest {
     private static final List<Supplier<Throwable>> FAULTS = List.of(
             () -> new IllegalStateException("planted"),
             () -> new AssertionError("planted"),
             () -> new NoClassDefFoundError("planted"),
             () -> new StackOverflowError("planted"));
 
-    /** What a test does to the calls of the module: before or after they are passed on. */
+    /** Intercepts the calls of the router; {@code passOn} makes the original call. */
     private interface Hook {
         void call(String method, Object[] args, Runnable passOn) throws Throwable;
     }
 
-    /** A proxy with one node, whose module's calls go through a hook, and what it has logged. */
-    private static final class Hooked implements Closeable {
+    /** A proxy with one node whose router is called through a hook, and its log lines. */
+    private static final class HookedProxy implements Closeable {
         final Peer.Listener discovery = new Peer.Listener();
         final Peer.Listener node = new Peer.Listener();
         final List<String> logged = new CopyOnWriteArrayList<>();
         private final EventLoop loop = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory()).next();
         private final cacheproxy.server.ProxyServer proxy;
 
-        Hooked(Hook hook) throws IOException {
+        HookedProxy(Hook hook) throws IOException {
             this(hook, line -> {});
         }
 
-        /** {@code writer} is given each line that is logged. */
-        Hooked(Hook hook, Consumer<String> writer) throws IOException {
+        /** @param writer receives each log line */
+        HookedProxy(Hook hook, Consumer<String> writer) throws IOException {
             Path file = Files.createTempFile("config", ".json");
             Files.writeString(
                     file,
@@ -71,15 +71,15 @@
                         logged.add(l);
                         writer.accept(l);
                     }),
-                    router -> hooked(router, hook));
+                    router -> intercept(router, hook));
             proxy.open();
             Fixture.servesTheKnownList(proxy, loop);
             Files.delete(file);
         }
 
-        private static RequestRouter hooked(RequestRouter inner, Hook hook) {
+        private static RequestRouter intercept(RequestRouter inner, Hook hook) {
             return (RequestRouter) Proxy.newProxyInstance(
-                    EventErrorTest.class.getClassLoader(),
+                    RouterErrorTest.class.getClassLoader(),
                     new Class<?>[] {RequestRouter.class},
                     (self, method, args) -> {
                         hook.call(method.getName(), args, () -> {
@@ -97,7 +97,7 @@
             return Peer.to(proxy.address());
         }
 
-        void assertSaid() {
+        void assertFaultLogged() {
             assertTrue(logged.stream().anyMatch(l -> l.contains("planted")), logged::toString);
         }
 
@@ -109,85 +109,86 @@
         }
     }
 
-    /** Has it served on the connection to the node that is open or comes. */
-    private static Peer served(Hooked h, Peer client, String id, Peer open) throws Exception {
+    /** Sends a read and responds on the given connection to the node, or on the next one if it is null. */
+    private static Peer sendAndServe(HookedProxy hookedProxy, Peer client, String id, Peer openConnection)
+            throws Exception {
         client.send(Fixture.read(id, 4000));
-        Peer node = open != null ? open : h.node.next();
+        Peer node = openConnection != null ? openConnection : hookedProxy.node.next();
         assertEquals("O" + id, Arrivals.command(node));
         node.send("VA 1 O" + id + "\r\n1\r\n");
         client.expect("VA 1 O" + id, "1");
         return node;
     }
 
-    /** Throws at the first call of this method that the test is interested in. */
-    private static final class Planted implements Hook {
-        private final String at;
+    /** Throws once, at the first call of the given method. */
+    private static final class ThrowOnce implements Hook {
+        private final String faultyMethod;
         private final boolean before;
         private final Throwable fault;
         private boolean armed = true;
 
-        Planted(String at, boolean before, Throwable fault) {
-            this.at = at;
+        ThrowOnce(String faultyMethod, boolean before, Throwable fault) {
+            this.faultyMethod = faultyMethod;
             this.before = before;
             this.fault = fault;
         }
 
         @Override
         public void call(String method, Object[] args, Runnable passOn) throws Throwable {
-            boolean now = armed && method.equals(at);
-            armed &= !now;
-            if (!now || !before) {
+            boolean throwNow = armed && method.equals(faultyMethod);
+            armed &= !throwNow;
+            if (!throwNow || !before) {
                 passOn.run();
             }
-            if (now) {
+            if (throwNow) {
                 throw fault;
             }
         }
     }
 
     @Test
-    void afterAFaultInTheModuleAtARequestTheNextAreServedAndItIsSaid() throws Exception {
+    void servesAndLogsAfterRouterThrowsOnRequest() throws Exception {
         for (Supplier<Throwable> fault : FAULTS) {
-            try (Hooked h = new Hooked(new Planted("onRequest", true, fault.get()));
-                    Peer client = h.client()) {
+            try (HookedProxy hookedProxy = new HookedProxy(new ThrowOnce("onRequest", true, fault.get()));
+                    Peer client = hookedProxy.client()) {
                 client.send(Fixture.read("a1", 300));
-                client.expect("SERVER_ERROR failed"); // the module never heard of it
-                Peer node = served(h, client, "a2", null);
-                served(h, client, "a3", node);
-                h.assertSaid();
+                client.expect("SERVER_ERROR failed"); // the router did not receive the request
+                Peer node = sendAndServe(hookedProxy, client, "a2", null);
+                sendAndServe(hookedProxy, client, "a3", node);
+                hookedProxy.assertFaultLogged();
             }
         }
     }
 
     @Test
-    void afterAFaultAtAnOutcomeTheClientHasItsAnswerAndTheNextAreServed() throws Exception {
+    void respondsAndServesAfterRouterThrowsOnOutcome() throws Exception {
         for (Supplier<Throwable> fault : FAULTS) {
-            try (Hooked h = new Hooked(new Planted("onOutcome", true, fault.get()));
-                    Peer client = h.client()) {
-                Peer node = served(h, client, "a1", null);
-                served(h, client, "a2", node);
-                h.assertSaid();
+            try (HookedProxy hookedProxy = new HookedProxy(new ThrowOnce("onOutcome", true, fault.get()));
+                    Peer client = hookedProxy.client()) {
+                Peer node = sendAndServe(hookedProxy, client, "a1", null);
+                sendAndServe(hookedProxy, client, "a2", node);
+                hookedProxy.assertFaultLogged();
             }
         }
     }
 
-    /** What the module asked for before it failed has its effect, and exactly one answer. */
+    /** Actions that the router requested before it failed take effect, and the request gets exactly one response. */
     @Test
-    void aRequestSentBeforeTheFaultIsStillAnswered() throws Exception {
+    void answersRequestSentBeforeRouterThrows() throws Exception {
         for (Supplier<Throwable> fault : FAULTS) {
-            try (Hooked h = new Hooked(new Planted("onRequest", false, fault.get()));
-                    Peer client = h.client()) {
-                Peer node = served(h, client, "a1", null);
-                served(h, client, "a2", node);
+            try (HookedProxy hookedProxy = new HookedProxy(new ThrowOnce("onRequest", false, fault.get()));
+                    Peer client = hookedProxy.client()) {
+                Peer node = sendAndServe(hookedProxy, client, "a1", null);
+                sendAndServe(hookedProxy, client, "a2", node);
                 client.send("mn\r\n");
                 client.expect("MN");
             }
         }
     }
 
-    /** Danger: the list is told on the loop too, and a list that is not taken must not end the watch in silence. */
+    /** Guards against an exception at one endpoint list ending the watch silently. */
     @Test
-    void afterAFaultAtAListTheNextOneIsTaken() throws Exception {
+    void appliesNextEndpointListAfterRouterThrowsOnList() throws Exception {
         for (Supplier<Throwable> fault : FAULTS) {
             boolean[] armed = new boolean[1];
             Hook hook = (method, args, passOn) -> {
@@ -197,12 +198,12 @@
                 }
                 passOn.run();
             };
-            try (Hooked h = new Hooked(hook);
+            try (HookedProxy hookedProxy = new HookedProxy(hook);
                     Peer.Listener other = new Peer.Listener();
-                    Peer client = h.client()) {
-                Peer watch = Fixture.watch(h.discovery);
+                    Peer client = hookedProxy.client()) {
+                Peer watch = Fixture.watch(hookedProxy.discovery);
                 armed[0] = true;
-                Fixture.chunk(watch, Fixture.list(2, true, Fixture.entry(0, "SERVING", h.node)));
+                Fixture.chunk(watch, Fixture.list(2, true, Fixture.entry(0, "SERVING", hookedProxy.node)));
                 Fixture.toldAndEnded(watch, Fixture.list(3, true, Fixture.entry(1, "SERVING", other)));
                 client.send(Fixture.read("a1", 4000));
                 assertEquals("Oa1", Arrivals.command(other.next()));
@@ -211,116 +212,121 @@
     }
 
     /**
-     * Danger: a module that answers twice. The first answer waits behind an earlier request of the connection, and must
-     * neither be replaced nor followed by another.
+     * Guards against a router that responds to a request more than once. The first response waits behind an earlier
+     * request of the connection, and must be neither replaced nor followed by another.
      */
     @Test
-    void onlyTheFirstAnswerOfARequestCounts() throws Exception {
+    void ignoresFurtherResponsesOfRouterToARequest() throws Exception {
         Hook hook = (method, args, passOn) -> {
             passOn.run();
             if (method.equals("onRequest") && ((RoutingRequest) args[1]).requestClass == 1) { // the charge
                 long id = ((RoutingRequest) args[1]).id;
-                RoutingActions out = (RoutingActions) args[2];
-                out.reject(id, 7_000);
-                out.fail(id);
-                out.reject(id, 9_000);
+                RoutingActions actions = (RoutingActions) args[2];
+                actions.reject(id, 7_000);
+                actions.fail(id);
+                actions.reject(id, 9_000);
             }
         };
-        try (Hooked h = new Hooked(hook);
-                Peer client = h.client()) {
+        try (HookedProxy hookedProxy = new HookedProxy(hook);
+                Peer client = hookedProxy.client()) {
             client.send(Fixture.read("a1", 4000) + Fixture.write("charge", "c1", 4000));
-            Peer read = h.node.next();
+            Peer read = hookedProxy.node.next();
             assertEquals("Oa1", Arrivals.command(read));
-            Peer write = h.node.next();
+            Peer write = hookedProxy.node.next();
             read.send("VA 1 Oa1\r\n1\r\n");
             client.expect("VA 1 Oa1", "1", "SERVER_ERROR busy 7");
             client.send("mn\r\n");
             client.expect("MN");
-            assertFalse(write.ready(), "sent after its answer, when its connection had come up");
+            assertFalse(write.ready(), "the request was sent after it had been answered");
         }
     }
 
-    // ---- where memory is short, the line that says so is not had either ----
+    // ---- out of memory: describing or logging the error may fail as well ----
 
-    private static Error unsayable() {
+    private static Error errorWithoutDescription() {
         return new OutOfMemoryError("planted") {
             private static final long serialVersionUID = 1L;
 
             @Override
             public String toString() {
-                throw new OutOfMemoryError("planted, for its text");
+                throw new OutOfMemoryError("planted, from toString");
             }
         };
     }
 
-    private static void noMemory(String line) {
+    private static void failToLogFault(String line) {
         if (line.contains("fault:")) {
-            throw new OutOfMemoryError("planted, for the line");
+            throw new OutOfMemoryError("planted, from the log writer");
         }
     }
 
     @Test
-    void afterAFaultWithoutATextTheNextAreServedAndItIsSaid() throws Exception {
-        try (Hooked h = new Hooked(new Planted("onRequest", true, unsayable()));
-                Peer client = h.client()) {
+    void servesAndLogsAfterErrorThatCannotBeDescribed() throws Exception {
+        try (HookedProxy hookedProxy = new HookedProxy(new ThrowOnce("onRequest", true, errorWithoutDescription()));
+                Peer client = hookedProxy.client()) {
             client.send(Fixture.read("a1", 300));
             client.expect("SERVER_ERROR failed");
-            Peer node = served(h, client, "a2", null);
-            served(h, client, "a3", node);
+            Peer node = sendAndServe(hookedProxy, client, "a2", null);
+            sendAndServe(hookedProxy, client, "a3", node);
             assertTrue(
-                    h.logged.stream().anyMatch(l -> l.contains("fault: it cannot be described")), h.logged::toString);
+                    hookedProxy.logged.stream().anyMatch(l -> l.contains("fault: it cannot be described")),
+                    hookedProxy.logged::toString);
         }
     }
 
     @Test
-    void afterAFaultThatCannotBeSaidTheNextAreServed() throws Exception {
-        try (Hooked h = new Hooked(new Planted("onRequest", true, unsayable()), EventErrorTest::noMemory);
-                Peer client = h.client()) {
+    void servesAfterErrorThatCannotBeLogged() throws Exception {
+        try (HookedProxy hookedProxy = new HookedProxy(
+                        new ThrowOnce("onRequest", true, errorWithoutDescription()), RouterErrorTest::failToLogFault);
+                Peer client = hookedProxy.client()) {
             client.send(Fixture.read("a1", 300));
             client.expect("SERVER_ERROR failed");
-            Peer node = served(h, client, "a2", null);
-            served(h, client, "a3", node);
+            Peer node = sendAndServe(hookedProxy, client, "a2", null);
+            sendAndServe(hookedProxy, client, "a3", node);
         }
     }
 
-    /** Danger: it stays the first of those that a pause has held, and all behind it wait for ever. */
+    /**
+     * Guards against an event that fails staying at the head of the events held back by a stall, where it blocks all
+     * others forever.
+     */
     @Test
-    void afterOneAmongEventsThatAPauseHasHeldTheNextAreServed() throws Exception {
-        CountDownLatch stands = new CountDownLatch(1);
-        CountDownLatch on = new CountDownLatch(1);
+    void servesAfterErrorInEventHeldBackByStall() throws Exception {
+        CountDownLatch loopBlocked = new CountDownLatch(1);
+        CountDownLatch release = new CountDownLatch(1);
         int[] calls = new int[1];
         Hook hook = (method, args, passOn) -> {
             int call = method.equals("onRequest") ? ++calls[0] : 0;
             if (call == 1) {
-                stands.countDown();
-                on.await();
+                loopBlocked.countDown();
+                release.await();
             } else if (call == 2) {
-                throw unsayable();
+                throw errorWithoutDescription();
             }
             passOn.run();
         };
-        try (Hooked h = new Hooked(hook, EventErrorTest::noMemory);
-                Peer first = h.client();
-                Peer second = h.client();
-                Peer third = h.client()) {
-            for (Peer p : List.of(second, third)) {
-                p.send("mn\r\n");
-                p.expect("MN"); // it is taken: what it sends is read first of all
+        try (HookedProxy hookedProxy = new HookedProxy(hook, RouterErrorTest::failToLogFault);
+                Peer first = hookedProxy.client();
+                Peer second = hookedProxy.client();
+                Peer third = hookedProxy.client()) {
+            for (Peer connection : List.of(second, third)) {
+                connection.send("mn\r\n");
+                connection.expect("MN"); // accepted, so that its next request is read first after the stall
             }
             first.send(Fixture.read("a1", 4000));
-            stands.await();
+            loopBlocked.await();
             second.send(Fixture.read("a2", 900));
             long start = System.nanoTime();
             while (System.nanoTime() - start < TimeUnit.MILLISECONDS.toNanos(600)) {
-                Thread.onSpinWait(); // longer than a quarter of the grace
+                Thread.onSpinWait(); // longer than a quarter of the drain grace period
             }
-            on.countDown();
-            Peer node = h.node.next();
+            release.countDown();
+            Peer node = hookedProxy.node.next();
             assertEquals("Oa1", Arrivals.command(node));
             node.send("VA 1 Oa1\r\n1\r\n");
             first.expect("VA 1 Oa1", "1");
             second.expect("SERVER_ERROR failed");
-            served(h, third, "a3", node);
+            sendAndServe(hookedProxy, third, "a3", node);
         }
     }
 }
--- a/proxy/src/test/java/cacheproxy/server/ServingTest.java
+++ b/proxy/src/test/java/cacheproxy/server/ServingTest.java
@@ -14,27 +14,27 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** One proxy, scripted clients and cache nodes: answers, their order, and what each kind of failure becomes. */
+/** One proxy with scripted clients and cache nodes: responses, their order, and the handling of failures. */
 @Timeout(60)
 class ServingTest {
 
-    /** The next command at a node, its waiting time checked and taken out. */
-    private static String command(Peer node, int mostWait) throws IOException {
+    /** The next command at a node without its waiting time, which is checked to be between 1 and the given maximum. */
+    private static String command(Peer node, int maxWaitMs) throws IOException {
         String line = node.line();
         assertTrue(line != null && line.contains(",d="), line);
-        int d = line.indexOf(",d=") + 3;
-        int end = line.indexOf(',', d);
-        int wait = Integer.parseInt(line.substring(d, end < 0 ? line.length() : end));
-        assertTrue(wait >= 1 && wait <= mostWait, line);
-        return line.substring(0, d) + (end < 0 ? "" : line.substring(end));
+        int waitStart = line.indexOf(",d=") + 3;
+        int end = line.indexOf(',', waitStart);
+        int waitMs = Integer.parseInt(line.substring(waitStart, end < 0 ? line.length() : end));
+        assertTrue(waitMs >= 1 && waitMs <= maxWaitMs, line);
+        return line.substring(0, waitStart) + (end < 0 ? "" : line.substring(end));
     }
 
     @Test
-    void aReadGoesOnUnchangedAndItsValueComesBackWithoutWhatTheNodeToldTheProxy() throws Exception {
-        try (Fixture f = new Fixture(1)) {
-            Peer client = f.client();
+    void forwardsReadUnchangedAndReturnsValueWithoutLoadReport() throws Exception {
+        try (Fixture fixture = new Fixture(1)) {
+            Peer client = fixture.client();
             client.send("mg 7f3a9c21e0b4d655 v Oa1 Pc=lookup,t=acme,d=4000,r=1,size=12\r\n");
-            Peer node = f.nodes.get(0).next();
+            Peer node = fixture.nodes.get(0).next();
             assertEquals("mg 7f3a9c21e0b4d655 v Oa1 Pc=lookup,t=acme,d=,r=1,size=12", command(node, 4000));
             node.send("VA 5 Oa1 h1 Lbusy=0.61\r\nhel\nl\r\n");
             client.expect("VA 5 Oa1", "hel", "l");
@@ -42,11 +42,11 @@
     }
 
     @Test
-    void aWriteGoesOnWithItsValueAndKeyAndItsReceiptComesBack() throws Exception {
-        try (Fixture f = new Fixture(1)) {
-            Peer client = f.client();
+    void forwardsWriteWithValueAndIdempotencyKeyAndReturnsResponse() throws Exception {
+        try (Fixture fixture = new Fixture(1)) {
+            Peer client = fixture.client();
             client.send(Fixture.write("submit", "b2", 4000));
-            Peer node = f.nodes.get(0).next();
+            Peer node = fixture.nodes.get(0).next();
             assertEquals("ms 7f3a9c21e0b4d655 5 Ob2 Pc=submit,t=acme,d=,k=5c0f", command(node, 4000));
             node.expect("hello");
             node.send("HD Ob2 c77\r\n");
@@ -55,12 +55,12 @@
     }
 
     @Test
-    void answersKeepTheOrderOfTheCommandsOfAConnection() throws Exception {
-        try (Fixture f = new Fixture(1)) {
-            Peer client = f.client();
+    void sendsResponsesInOrderOfCommands() throws Exception {
+        try (Fixture fixture = new Fixture(1)) {
+            Peer client = fixture.client();
             client.send(Fixture.read("a1", 4000) + Fixture.read("a2", 4000) + "mn\r\nmg x\r\n");
-            Peer first = f.nodes.get(0).next();
-            Peer second = f.nodes.get(0).next();
+            Peer first = fixture.nodes.get(0).next();
+            Peer second = fixture.nodes.get(0).next();
             boolean swapped = command(first, 4000).contains("Oa2");
             command(second, 4000);
             (swapped ? first : second).send("VA 1 Oa2\r\n2\r\n");
@@ -70,11 +70,11 @@
     }
 
     @Test
-    void aConnectionToANodeIsUsedAgain() throws Exception {
-        try (Fixture f = new Fixture(1)) {
-            Peer client = f.client();
+    void reusesEndpointConnection() throws Exception {
+        try (Fixture fixture = new Fixture(1)) {
+            Peer client = fixture.client();
             client.send(Fixture.read("a1", 4000));
-            Peer node = f.nodes.get(0).next();
+            Peer node = fixture.nodes.get(0).next();
             command(node, 4000);
             node.send("VA 1 Oa1\r\n1\r\n");
             client.expect("VA 1 Oa1", "1");
@@ -82,14 +82,14 @@
             command(node, 4000);
             node.send("VA 1 Oa2\r\n2\r\n");
             client.expect("VA 1 Oa2", "2");
-            assertEquals(1, f.nodes.get(0).count());
+            assertEquals(1, fixture.nodes.get(0).count());
         }
     }
 
     @Test
-    void whatCannotBeReadGetsAnErrorLineAndTheConnectionEndsOnlyWhereFramingIsLost() throws Exception {
-        try (Fixture f = new Fixture(1)) {
-            Peer client = f.client();
+    void answersInvalidCommandsWithErrorAndClosesOnlyAfterLostFraming() throws Exception {
+        try (Fixture fixture = new Fixture(1)) {
+            Peer client = fixture.client();
             client.send("get x\r\nmg k v Oa Pc=nobody,t=acme,d=9\r\nms k 3 Ob Pc=charge,t=acme,d=x\r\nabc\r\nmn\r\n");
             client.expect(
                     "ERROR",
@@ -99,56 +99,56 @@
             client.send("ms k 65537 Oc Pc=charge,t=acme,d=900,k=1\r\n");
             client.expect("CLIENT_ERROR object too large");
             client.expectEnd();
-            Peer other = f.client();
+            Peer other = fixture.client();
             other.send("m".repeat(5000));
             other.expect("CLIENT_ERROR line too long");
             other.expectEnd();
-            Peer third = f.client();
+            Peer third = fixture.client();
             third.send("ms k 3 Od Pc=charge,t=acme,d=900,k=1\r\nabcdefg\r\n");
             third.expect("CLIENT_ERROR bad data chunk");
             third.expectEnd();
-            Peer last = f.client();
+            Peer last = fixture.client();
             last.send("mn\r\n");
             last.expect("MN");
-            assertEquals(0, f.nodes.get(0).count());
+            assertEquals(0, fixture.nodes.get(0).count());
         }
     }
 
     @Test
-    void anUnsafeRequestWhoseConnectionBreaksAfterItWasWrittenHasFailedAndIsNotSentAgain() throws Exception {
-        try (Fixture f = new Fixture(2)) {
-            Peer client = f.client();
+    void failsUnsafeRequestWithoutRetryWhenConnectionBreaksAfterWrite() throws Exception {
+        try (Fixture fixture = new Fixture(2)) {
+            Peer client = fixture.client();
             client.send(Fixture.write("charge", "c1", 4000));
-            Peer node = other(f, 0);
+            Peer node = nextConnection(fixture, 0);
             command(node, 4000);
             node.expect("hello");
             node.reset();
             client.expect("SERVER_ERROR failed");
-            assertEquals(1, f.nodes.get(0).count() + f.nodes.get(1).count());
+            assertEquals(1, fixture.nodes.get(0).count() + fixture.nodes.get(1).count());
         }
     }
 
-    /** The connection that came to either of two nodes; {@code before} came to both together earlier. */
-    private static Peer other(Fixture f, int before) throws Exception {
+    /** The next connection to either of two nodes, which together have accepted {@code before} connections so far. */
+    private static Peer nextConnection(Fixture fixture, int connectionsBefore) throws Exception {
         long end = System.nanoTime() + 10_000_000_000L;
-        while (f.nodes.get(0).count() + f.nodes.get(1).count() <= before) {
+        while (fixture.nodes.get(0).count() + fixture.nodes.get(1).count() <= connectionsBefore) {
             assertTrue(System.nanoTime() < end, "no connection came");
             Thread.onSpinWait();
         }
-        for (Peer.Listener n : f.nodes) {
-            Peer p = n.poll();
-            if (p != null) {
-                return p;
+        for (Peer.Listener listener : fixture.nodes) {
+            Peer connection = listener.poll();
+            if (connection != null) {
+                return connection;
             }
         }
         throw new AssertionError("no connection came");
     }
 
     @Test
-    void anUnsafeRequestThatNoNodeTookIsRefusedWithTheTimeToComeBack() throws Exception {
-        try (Fixture f = new Fixture(1)) {
-            f.nodes.get(0).close();
-            Peer client = f.client();
+    void rejectsUnsafeRequestWithRetryAfterWhenNoNodeAcceptsConnections() throws Exception {
+        try (Fixture fixture = new Fixture(1)) {
+            fixture.nodes.get(0).close();
+            Peer client = fixture.client();
             client.send(Fixture.write("charge", "c1", 4000));
             String line = client.line();
             assertTrue(line.matches("SERVER_ERROR busy [1-9][0-9]*"), line);
@@ -156,15 +156,15 @@
     }
 
     @Test
-    void anUnsafeRequestThatANodeTurnedAwayMayGoToAnother() throws Exception {
-        try (Fixture f = new Fixture(2)) {
-            Peer client = f.client();
+    void retriesUnsafeRequestThatANodeRejectedAsBusy() throws Exception {
+        try (Fixture fixture = new Fixture(2)) {
+            Peer client = fixture.client();
             client.send(Fixture.write("charge", "c1", 4000));
-            Peer node = other(f, 0);
+            Peer node = nextConnection(fixture, 0);
             command(node, 4000);
             node.expect("hello");
             node.send("SERVER_ERROR busy Lbusy=1.0\r\n");
-            Peer second = other(f, 1);
+            Peer second = nextConnection(fixture, 1);
             assertEquals("ms 7f3a9c21e0b4d655 5 Oc1 Pc=charge,t=acme,d=,k=5c0f", command(second, 4000));
             second.expect("hello");
             second.send("HD Oc1 c9\r\n");
@@ -173,19 +173,19 @@
     }
 
     @Test
-    void anUnsafeRequestWhoseConnectionNeverComesUpIsRefusedAndNotWrittenLater() throws Exception {
-        try (Fixture f = new Fixture(1);
+    void rejectsUnsafeRequestWhoseConnectionIsNeverEstablished() throws Exception {
+        try (Fixture fixture = new Fixture(1);
                 Peer.Deaf deaf = new Peer.Deaf()) {
-            onlyNode(f, deaf);
-            Peer client = f.client();
+            replaceEndpointsBy(fixture, deaf);
+            Peer client = fixture.client();
             client.send(Fixture.write("charge", "c1", 200));
             assertTrue(client.line().startsWith("SERVER_ERROR busy "));
         }
     }
 
     @Test
-    void anAttemptGivenUpBeforeItsConnectionIsUpIsNotWrittenWhenItComesUpForAnother() throws Exception {
-        try (Fixture f = new Fixture(
+    void doesNotWriteTimedOutAttemptWhenItsConnectionIsEstablishedForAnother() throws Exception {
+        try (Fixture fixture = new Fixture(
                         1,
                         s -> s.replace("\"multiplex\":1", "\"multiplex\":4")
                                 .replace("\"secondCopies\":false", "\"secondCopies\":true")
@@ -193,12 +193,12 @@
                                 .replace("\"drainGraceMs\":1000.0", "\"drainGraceMs\":18000.0"),
                         1024);
                 Peer.Deaf deaf = new Peer.Deaf()) {
-            onlyNode(f, deaf);
-            Peer client = f.client();
-            Peer patient = f.client();
+            replaceEndpointsBy(fixture, deaf);
+            Peer client = fixture.client();
+            Peer patient = fixture.client();
             client.send(Fixture.write("charge", "c1", 400));
             patient.send(Fixture.write("charge", "c2", 4900));
-            assertTrue(client.line().startsWith("SERVER_ERROR busy ")); // which promises that it never ran
+            assertTrue(client.line().startsWith("SERVER_ERROR busy ")); // promises that it never runs
             Peer node = deaf.hear();
             assertEquals("ms 7f3a9c21e0b4d655 5 Oc2 Pc=charge,t=acme,d=,k=5c0f", command(node, 4900));
             node.expect("hello");
@@ -207,23 +207,23 @@
         }
     }
 
-    /** Has the proxy told of a node in place of all others, and waits until it knows. */
-    private static void onlyNode(Fixture f, Peer.Deaf node) throws Exception {
-        Peer watch = f.watch();
-        String entry = f.entry(0, "SERVING")
+    /** Sends a list with this node as the only endpoint, and waits until the proxy has processed it. */
+    private static void replaceEndpointsBy(Fixture fixture, Peer.Deaf node) throws Exception {
+        Peer watch = fixture.watch();
+        String entry = fixture.entry(0, "SERVING")
                 .replace("s-0", "s-9")
-                .replace(f.nodes.get(0).address(), node.address());
+                .replace(fixture.nodes.get(0).address(), node.address());
         Fixture.chunk(watch, Fixture.list(2, true, entry));
-        Fixture.chunk(watch, "{}"); // no list: it ends the watch, after the one before it was taken in
+        Fixture.chunk(watch, "{}"); // invalid: ends the watch after the list before it was processed
         watch.expectEnd();
     }
 
     @Test
-    void aRequestNeverAnsweredFailsWhenItIsDueAndItsConnectionIsClosed() throws Exception {
-        try (Fixture f = new Fixture(1)) {
-            Peer client = f.client();
+    void failsUnansweredRequestAtItsDeadlineAndClosesEndpointConnection() throws Exception {
+        try (Fixture fixture = new Fixture(1)) {
+            Peer client = fixture.client();
             client.send(Fixture.write("charge", "c1", 300));
-            Peer node = f.nodes.get(0).next();
+            Peer node = fixture.nodes.get(0).next();
             command(node, 300);
             node.expect("hello");
             client.expect("SERVER_ERROR failed");
@@ -232,49 +232,49 @@
     }
 
     @Test
-    void aRequestWithNoTimeLeftIsRefusedAtOnceAndSentNowhere() throws Exception {
-        try (Fixture f = new Fixture(1)) {
-            Peer client = f.client();
+    void rejectsRequestWithoutRemainingTimeAndDoesNotForwardIt() throws Exception {
+        try (Fixture fixture = new Fixture(1)) {
+            Peer client = fixture.client();
             client.send(Fixture.write("charge", "c1", 0) + "mn\r\n");
             assertTrue(client.line().startsWith("SERVER_ERROR busy"));
             client.expect("MN");
-            assertEquals(0, f.nodes.get(0).count());
+            assertEquals(0, fixture.nodes.get(0).count());
         }
     }
 
     @Test
-    void aRequestWhoseTimePassedWhileTheLoopStoodStillIsRefusedAndSentNowhere() throws Exception {
-        try (Fixture f = new Fixture(1)) {
-            Peer client = f.client();
+    void rejectsRequestWhoseDeadlinePassedDuringEventLoopStall() throws Exception {
+        try (Fixture fixture = new Fixture(1)) {
+            Peer client = fixture.client();
             client.send("mn\r\n");
             client.expect("MN");
-            CountDownLatch still = new CountDownLatch(1);
-            CompletableFuture<Long> until = new CompletableFuture<>();
-            f.loop.execute(() -> {
-                still.countDown();
-                for (long end = until.join(); System.nanoTime() < end; ) {
+            CountDownLatch loopBlocked = new CountDownLatch(1);
+            CompletableFuture<Long> blockedUntilNs = new CompletableFuture<>();
+            fixture.loop.execute(() -> {
+                loopBlocked.countDown();
+                for (long end = blockedUntilNs.join(); System.nanoTime() < end; ) {
                     Thread.onSpinWait();
                 }
             });
-            still.await();
+            loopBlocked.await();
             client.send(Fixture.write("charge", "c1", 300));
-            until.complete(System.nanoTime() + 500_000_000L);
+            blockedUntilNs.complete(System.nanoTime() + 500_000_000L);
             assertTrue(client.line().startsWith("SERVER_ERROR busy "));
-            assertEquals(0, f.nodes.get(0).count());
+            assertEquals(0, fixture.nodes.get(0).count());
         }
     }
 
     @Test
-    void aLateAnswerOnASharedConnectionIsNotTakenForTheNextOne() throws Exception {
-        try (Fixture f = new Fixture(
+    void doesNotMistakeLateResponseOnSharedConnectionForTheNextOne() throws Exception {
+        try (Fixture fixture = new Fixture(
                 1,
                 s -> s.replace("\"multiplex\":1", "\"multiplex\":4")
                         .replace("\"secondCopies\":false", "\"secondCopies\":true"),
                 1024)) {
-            Peer client = f.client();
-            Peer patient = f.client();
+            Peer client = fixture.client();
+            Peer patient = fixture.client();
             client.send(Fixture.write("charge", "c1", 300));
-            Peer node = f.nodes.get(0).next();
+            Peer node = fixture.nodes.get(0).next();
             command(node, 300);
             node.expect("hello");
             patient.send(Fixture.write("charge", "c2", 4000));
@@ -288,11 +288,11 @@
     }
 
     @Test
-    void anAnswerThatIsNotThisRequestsIsNotServedAndEndsItsConnection() throws Exception {
-        try (Fixture f = new Fixture(1)) {
-            Peer client = f.client();
+    void failsRequestAndClosesEndpointConnectionOnResponseWithWrongId() throws Exception {
+        try (Fixture fixture = new Fixture(1)) {
+            Peer client = fixture.client();
             client.send(Fixture.write("charge", "c1", 4000));
-            Peer node = f.nodes.get(0).next();
+            Peer node = fixture.nodes.get(0).next();
             command(node, 4000);
             node.expect("hello");
             node.send("HD Osomebody c1\r\n");
@@ -302,11 +302,11 @@
     }
 
     @Test
-    void aClientThatLeavesEndsTheWorkOfItsRequest() throws Exception {
-        try (Fixture f = new Fixture(1)) {
-            Peer client = f.client();
+    void cancelsAttemptWhenClientCloses() throws Exception {
+        try (Fixture fixture = new Fixture(1)) {
+            Peer client = fixture.client();
             client.send(Fixture.read("a1", 4000));
-            Peer node = f.nodes.get(0).next();
+            Peer node = fixture.nodes.get(0).next();
             command(node, 4000);
             client.close();
             node.expectEnd();
@@ -314,62 +314,62 @@
     }
 
     @Test
-    void overTheBoundOnDescriptorsAnIdleClientConnectionIsClosedForANewOne() throws Exception {
-        try (Fixture f = new Fixture(1, s -> s, 128)) { // 40 of them are for clients
-            Peer oldest = f.client();
+    void closesIdleClientConnectionForNewOneAtConnectionLimit() throws Exception {
+        try (Fixture fixture = new Fixture(1, s -> s, 128)) { // allows 40 client connections
+            Peer oldest = fixture.client();
             oldest.send("mn\r\n");
             oldest.expect("MN");
             for (int i = 0; i < 40; i++) {
-                Peer p = f.client();
-                p.send("mn\r\n");
-                p.expect("MN");
+                Peer connection = fixture.client();
+                connection.send("mn\r\n");
+                connection.expect("MN");
             }
             oldest.expectEnd();
         }
     }
 
     @Test
-    void overTheBoundWithEveryConnectionBusyANewOneIsToldSoAndEnds() throws Exception {
-        try (Fixture f = new Fixture(
+    void rejectsNewConnectionWhenAllAreBusyAtConnectionLimit() throws Exception {
+        try (Fixture fixture = new Fixture(
                 1,
                 s -> s.replace("\"multiplex\":1", "\"multiplex\":64")
                         .replace("\"secondCopies\":false", "\"secondCopies\":true"),
-                128)) { // 40 are for clients
+                128)) { // allows 40 client connections
             for (int i = 0; i < 40; i++) {
-                f.client().send(Fixture.read("a" + i, 4900));
+                fixture.client().send(Fixture.read("a" + i, 4900));
             }
-            Peer node = f.nodes.get(0).next();
+            Peer node = fixture.nodes.get(0).next();
             for (int i = 0; i < 40; i++) {
                 command(node, 4900);
             }
-            Peer over = f.client();
-            over.send(Fixture.write("charge", "c1", 4000));
-            assertTrue(over.line().startsWith("SERVER_ERROR busy "));
-            over.expectEnd();
+            Peer excessClient = fixture.client();
+            excessClient.send(Fixture.write("charge", "c1", 4000));
+            assertTrue(excessClient.line().startsWith("SERVER_ERROR busy "));
+            excessClient.expectEnd();
         }
     }
 
     @Test
-    void atTheEndWhatWasTakenIsAnsweredAndConnectionsEndInOrder() throws Exception {
-        try (Fixture f = new Fixture(1)) {
-            InetSocketAddress address = f.proxy.address();
-            Peer waiting = f.client();
-            Peer idle = f.client();
+    void gracefulShutdownAnswersOpenRequestsBeforeClosingConnections() throws Exception {
+        try (Fixture fixture = new Fixture(1)) {
+            InetSocketAddress address = fixture.proxy.address();
+            Peer waiting = fixture.client();
+            Peer idle = fixture.client();
             idle.send("mn\r\n");
             idle.expect("MN");
             waiting.send(Fixture.read("a1", 4000));
-            Peer node = f.nodes.get(0).next();
+            Peer node = fixture.nodes.get(0).next();
             command(node, 4000);
-            Future<Void> end = f.loop.submit(() -> f.proxy.drain(1500)).get();
-            Peer late = f.client(); // still comes, since the front learns of the end only later
-            late.send("mn\r\n");
-            late.expect("MN");
+            Future<Void> end = fixture.loop.submit(() -> fixture.proxy.drain(1500)).get();
+            Peer lateClient = fixture.client(); // still accepted, since load balancers learn of the shutdown only later
+            lateClient.send("mn\r\n");
+            lateClient.expect("MN");
             idle.expectEnd();
             assertFalse(end.isDone());
             node.send("VA 1 Oa1\r\n1\r\n");
             waiting.expect("VA 1 Oa1", "1");
             waiting.expectEnd();
-            late.close();
+            lateClient.close();
             idle.close();
             waiting.close();
             assertTrue(end.await(3, TimeUnit.SECONDS));
--- a/proxy/src/test/java/cacheproxy/server/StrictCommandTest.java
+++ b/proxy/src/test/java/cacheproxy/server/StrictCommandTest.java
@@ -8,154 +8,157 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** Danger: of a command that says two things the proxy reads one and the node the other. */
+/** Guards against ambiguous commands, of which the proxy reads one meaning and the node the other. */
 @Timeout(60)
 class StrictCommandTest {
     private static final String MG = "mg 7f3a9c21e0b4d655 v ";
     private static final String MS = "ms 7f3a9c21e0b4d655 5 ";
 
-    /** Each is sent on a connection of its own with {@code mn} behind it, and all are told what is wrong. */
-    private static void turnedAway(String... commands) throws Exception {
-        try (Fixture f = new Fixture(1)) {
+    /** Sends each command on its own connection, followed by {@code mn}; all must be answered {@code CLIENT_ERROR}. */
+    private static void assertRejected(String... commands) throws Exception {
+        try (Fixture fixture = new Fixture(1)) {
             List<Peer> clients = new ArrayList<>();
             for (int i = 0; i < commands.length; i++) {
-                Peer client = f.client();
+                Peer client = fixture.client();
                 clients.add(client);
                 client.send(commands[i].replace("?", "a" + i) + "mn\r\n");
             }
-            List<String> taken = new ArrayList<>();
+            List<String> accepted = new ArrayList<>();
             for (int i = 0; i < commands.length; i++) {
                 String line = clients.get(i).line();
                 if (!line.startsWith("CLIENT_ERROR ")) {
-                    taken.add(commands[i] + line);
+                    accepted.add(commands[i] + line);
                 }
-                clients.get(i).expect("MN"); // the connection is kept, and a value is not read as commands
+                clients.get(i).expect("MN"); // the connection stays open, and the value is not decoded as commands
             }
-            assertEquals(List.of(), taken);
-            assertEquals(0, f.nodes.get(0).count(), "sent nowhere");
+            assertEquals(List.of(), accepted);
+            assertEquals(0, fixture.nodes.get(0).count(), "no command was forwarded");
         }
     }
 
-    private static String read(String fields) {
+    private static String readCommand(String fields) {
         return MG + "O? P" + fields + "\r\n";
     }
 
-    private static String write(String tokens) {
-        return MS + tokens + "\r\nmn\r\nx\r\n"; // five bytes that would be a command
+    private static String writeCommand(String tokens) {
+        return MS + tokens + "\r\nmn\r\nx\r\n"; // the five bytes of the value would decode as a command
     }
 
-    /** Danger: charge for the node and lookup for the proxy makes a charge safe to repeat. */
+    /** Guards against a charge that the proxy takes for a lookup, and therefore for safe to retry. */
     @Test
-    void twoListsOfFieldsAreTurnedAway() throws Exception {
-        turnedAway(
-                write("O? Pc=charge,t=acme,d=300,k=5c0f Pc=lookup,t=acme,d=300"),
-                write("O? Pc=lookup,t=acme,d=300 Pc=charge,t=acme,d=300,k=5c0f"),
-                write("Pc=charge,t=acme,d=300 O? Pc=charge,t=acme,d=300"),
+    void rejectsCommandWithTwoFieldLists() throws Exception {
+        assertRejected(
+                writeCommand("O? Pc=charge,t=acme,d=300,k=5c0f Pc=lookup,t=acme,d=300"),
+                writeCommand("O? Pc=lookup,t=acme,d=300 Pc=charge,t=acme,d=300,k=5c0f"),
+                writeCommand("Pc=charge,t=acme,d=300 O? Pc=charge,t=acme,d=300"),
                 MG + "O? Pc=lookup,t=acme,d=300 Pc=lookup,t=acme,d=300\r\n",
                 MG + "O? Pc=lookup,t=acme,d=300 P\r\n");
     }
 
-    /** Danger: the node's answer bears the other id and is thrown away, though it ran. */
+    /** Guards against a request that runs, but whose response carries the other id and is discarded. */
     @Test
-    void twoIdsAreTurnedAway() throws Exception {
-        turnedAway(
+    void rejectsCommandWithTwoIds() throws Exception {
+        assertRejected(
                 MG + "O? Ob? Pc=lookup,t=acme,d=300\r\n",
                 MG + "O? O? Pc=lookup,t=acme,d=300\r\n",
                 MG + "O? Pc=lookup,t=acme,d=300 Ob?\r\n",
                 MG + "O? Pc=lookup,t=acme,d=300 O\r\n",
-                write("O? Ob? Pc=charge,t=acme,d=300,k=5c0f"));
+                writeCommand("O? Ob? Pc=charge,t=acme,d=300,k=5c0f"));
     }
 
     @Test
-    void aFieldNamedTwiceIsTurnedAway() throws Exception {
-        turnedAway(
-                read("c=charge,c=lookup,t=acme,d=300"),
-                read("c=lookup,t=acme,d=300,c=lookup"),
-                read("c=lookup,t=acme,t=acme,d=300"),
-                read("t=nobody,c=lookup,t=acme,d=300"),
-                read("c=lookup,t=acme,d=300,d=299"),
-                read("d=300,c=lookup,t=acme,d=300"),
-                read("c=lookup,t=acme,d=300,r=1,r=0"),
-                read("c=lookup,t=acme,d=300,h=100,h=200"),
-                read("c=lookup,t=acme,d=300,size=9,size=8"),
-                write("O? Pc=submit,t=acme,d=300,k=5c0f,k=5c10"),
-                write("O? Pc=submit,t=acme,d=300,k=,k=5c0f"),
-                write("O? Pc=charge,c=lookup,t=acme,d=300,k=5c0f"));
+    void rejectsCommandWithDuplicateField() throws Exception {
+        assertRejected(
+                readCommand("c=charge,c=lookup,t=acme,d=300"),
+                readCommand("c=lookup,t=acme,d=300,c=lookup"),
+                readCommand("c=lookup,t=acme,t=acme,d=300"),
+                readCommand("t=nobody,c=lookup,t=acme,d=300"),
+                readCommand("c=lookup,t=acme,d=300,d=299"),
+                readCommand("d=300,c=lookup,t=acme,d=300"),
+                readCommand("c=lookup,t=acme,d=300,r=1,r=0"),
+                readCommand("c=lookup,t=acme,d=300,h=100,h=200"),
+                readCommand("c=lookup,t=acme,d=300,size=9,size=8"),
+                writeCommand("O? Pc=submit,t=acme,d=300,k=5c0f,k=5c10"),
+                writeCommand("O? Pc=submit,t=acme,d=300,k=,k=5c0f"),
+                writeCommand("O? Pc=charge,c=lookup,t=acme,d=300,k=5c0f"));
     }
 
-    /** Danger: without v a node answers a hit with HD, which is no answer to a read here. */
+    /** Guards against hits that nodes answer with {@code HD}, no valid response to a read, if {@code v} is missing. */
     @Test
-    void aReadThatAsksForNoValueIsTurnedAway() throws Exception {
-        turnedAway(
+    void rejectsReadThatRequestsNoValue() throws Exception {
+        assertRejected(
                 "mg 7f3a9c21e0b4d655 O? Pc=lookup,t=acme,d=300\r\n",
                 "mg 7f3a9c21e0b4d655 t O? Pc=lookup,t=acme,d=300\r\n");
     }
 
-    /** What each name may be given once is still taken, in any order and with what is not known here. */
+    /** Fields that occur once are still accepted, in any order and together with unknown fields. */
     @Test
-    void aCommandWithEachFieldOnceGoesOnUnchanged() throws Exception {
-        try (Fixture f = new Fixture(1)) {
-            f.client().send(MG + "O1 Psize=12,x=1,h=100,r=1,k=5c0f,t=acme,c=lookup,d=4000\r\n");
-            String line = f.nodes.get(0).next().line();
+    void forwardsCommandWithUniqueFieldsUnchanged() throws Exception {
+        try (Fixture fixture = new Fixture(1)) {
+            fixture.client().send(MG + "O1 Psize=12,x=1,h=100,r=1,k=5c0f,t=acme,c=lookup,d=4000\r\n");
+            String line = fixture.nodes.get(0).next().line();
             assertTrue(line.startsWith(MG + "O1 Psize=12,x=1,h=100,r=1,k=5c0f,t=acme,c=lookup,d="), line);
         }
     }
 
-    /** Danger: the time that is left is written into the key, and another key is asked for. */
+    /** Guards against the remaining time being written into the key, so that another key is requested. */
     @Test
-    void aKeyThatLooksLikeTheFieldsGoesOnUnchanged() throws Exception {
-        try (Fixture f = new Fixture(1)) {
+    void forwardsKeyThatLooksLikeFieldsUnchanged() throws Exception {
+        try (Fixture fixture = new Fixture(1)) {
             String command = "mg Pc=lookup,t=acme,d=4000 v O1 Pc=lookup,t=acme,d=";
-            f.client().send(command + "4000\r\n");
-            String line = f.nodes.get(0).next().line();
+            fixture.client().send(command + "4000\r\n");
+            String line = fixture.nodes.get(0).next().line();
             assertTrue(line.startsWith(command), line);
         }
     }
 
-    private static String submit(String key) {
+    private static String submitCommand(String key) {
         return "ms 7f3a9c21e0b4d655 5 Oc1 Pc=submit,t=acme,d=700" + key + "\r\nhello\r\n";
     }
 
-    /** Danger: nodes drop repeats by their key alone; without one, what is sent again runs again. */
+    /** Guards against a retry that runs twice: nodes detect duplicates only by the idempotency key. */
     @Test
-    void aKeyedWriteWithoutItsKeyIsNotSentAgainOnceItMayHaveRun() throws Exception {
+    void doesNotRetryWriteWithoutIdempotencyKeyThatMayHaveRun() throws Exception {
         for (String key : new String[] {"", ",k="}) {
-            try (Fixture f = new Fixture(2)) {
-                Peer client = f.client();
-                client.send(submit(key));
-                Peer node = new Arrivals(f).next();
+            try (Fixture fixture = new Fixture(2)) {
+                Peer client = fixture.client();
+                client.send(submitCommand(key));
+                Peer node = new Arrivals(fixture).next();
                 assertEquals("Oc1", Arrivals.command(node));
                 node.reset();
                 client.expect("SERVER_ERROR failed");
-                assertEquals(1, f.nodes.get(0).count() + f.nodes.get(1).count(), "whole at one node only");
+                assertEquals(
+                        1,
+                        fixture.nodes.get(0).count() + fixture.nodes.get(1).count(),
+                        "the command may reach only one node");
             }
         }
     }
 
-    /** Danger: a refusal has the client send it again, and it runs again. */
+    /** Guards against a write that runs twice because the client retries it after a rejection. */
     @Test
-    void aKeyedWriteWithoutItsKeyIsNotRefusedOnceItMayHaveRun() throws Exception {
+    void failsInsteadOfRejectingWriteWithoutIdempotencyKeyThatMayHaveRun() throws Exception {
         for (String key : new String[] {"", ",k="}) {
-            try (Fixture f = new Fixture(1)) {
-                Peer client = f.client();
-                client.send(submit(key));
-                Peer node = f.nodes.get(0).next();
+            try (Fixture fixture = new Fixture(1)) {
+                Peer client = fixture.client();
+                client.send(submitCommand(key));
+                Peer node = fixture.nodes.get(0).next();
                 assertEquals("Oc1", Arrivals.command(node));
-                client.expect("SERVER_ERROR failed"); // when it is due: no answer came
+                client.expect("SERVER_ERROR failed"); // at its deadline, since the node did not respond
             }
         }
     }
 
     @Test
-    void aKeyedWriteWithItsKeyIsSentAgain() throws Exception {
-        try (Fixture f = new Fixture(2)) {
-            Arrivals at = new Arrivals(f);
-            Peer client = f.client();
-            client.send(submit(",k=5c0f"));
-            Peer node = at.next();
+    void retriesWriteWithIdempotencyKey() throws Exception {
+        try (Fixture fixture = new Fixture(2)) {
+            Arrivals arrivals = new Arrivals(fixture);
+            Peer client = fixture.client();
+            client.send(submitCommand(",k=5c0f"));
+            Peer node = arrivals.next();
             assertEquals("Oc1", Arrivals.command(node));
             node.reset();
-            Peer second = at.next();
+            Peer second = arrivals.next();
             assertEquals("Oc1", Arrivals.command(second));
             second.send("HD Oc1 c7\r\n");
             client.expect("HD Oc1 c7");
