--- a/proxy/src/main/java/cacheproxy/server/EndpointList.java
+++ b/proxy/src/main/java/cacheproxy/server/EndpointList.java
@@ -46,12 +46,12 @@
         int infoCount = 0;
         for (Endpoint endpoint : byNumber.values()) {
             infos[infoCount++] = endpoint.node();
-            list(endpoint, changes);
+            updateEndpoint(endpoint, changes);
         }
         router.endpointListReceived(kind, infos);
         for (EndpointInfo info : infos) {
             if (info.state != EndpointState.READY) {
-                leave(info.id, info.state == EndpointState.GONE);
+                drainOrRemove(info.id, info.state == EndpointState.GONE);
             } else {
                 pools.routerNotified(info.id);
             }
@@ -62,7 +62,7 @@
         logChanges(changes);
     }
 
-    private void list(Endpoint endpoint, List<String> changes) {
+    private void updateEndpoint(Endpoint endpoint, List<String> changes) {
         EndpointInfo info = endpoint.node();
         recordChange(changes, info.id, endpoint.name(), info.state);
         if (info.state != EndpointState.GONE) {
@@ -76,12 +76,12 @@
             if (!listedNumbers.contains(number)) {
                 EndpointPool pool = pools.get(number);
                 recordChange(changes, number, pool == null ? "" : pool.name(), EndpointState.GONE);
-                leave(number, true);
+                drainOrRemove(number, true);
             }
         }
     }
 
-    private void leave(int number, boolean removed) {
+    private void drainOrRemove(int number, boolean removed) {
         pools.leave(number, removed);
         if (removed) {
             states.remove(number);
--- a/proxy/src/main/java/cacheproxy/server/JitWarmUp.java
+++ b/proxy/src/main/java/cacheproxy/server/JitWarmUp.java
@@ -91,7 +91,7 @@
                     }
                 }),
                 NioServerSocketChannel::new,
-                System::currentTimeMillis); // unused, since the warm-up proxy never listens
+                System::currentTimeMillis); // no server socket is created: the warm-up proxy never listens
         proxy = new ProxyServer(config, loop, host, new Log(System::nanoTime, line -> {}), router -> router);
     }
 
--- a/proxy/src/test/java/cacheproxy/server/BadClientsTest.java
+++ b/proxy/src/test/java/cacheproxy/server/BadClientsTest.java
@@ -91,7 +91,7 @@
         }
     }
 
-    /** Guards against connections that send one request and stay open using up all client connections. */
+    /** Guards against all client connections being used up by ones that send one request and stay open unused. */
     @Test
     void closesConnectionsUsedOnceBeforeReusedOnes() throws Exception {
         try (Fixture fixture = new Fixture(1, s -> s, 128)) { // allows 32 established client connections
--- a/proxy/src/test/java/cacheproxy/server/ClientIsolationTest.java
+++ b/proxy/src/test/java/cacheproxy/server/ClientIsolationTest.java
@@ -284,9 +284,7 @@
         assertSlowReaderReceivesAll("", fixture -> fixture.loop.submit(() -> fixture.proxy.drain(0)).get());
     }
 
-    /**
-     * Guards against losing responses to earlier requests 0.5 s after a line that loses the framing.
-     */
+    /** Guards against losing responses to earlier requests 0.5 s after a line that loses the framing. */
     @Test
     void slowReaderReceivesAllResponsesBeforeLostFraming() throws Exception {
         assertSlowReaderReceivesAll("x".repeat(3000) + "\r\n", fixture -> {});
@@ -333,7 +331,7 @@
         }
     }
 
-    /** Guards against attributing rejections to the clients when a faulty node rejects all requests as invalid. */
+    /** Guards against never avoiding a faulty node that rejects all requests, and reporting its clients as at fault. */
     @Test
     void avoidsNodeThatRejectsRequestsThatOthersServe() throws Exception {
         try (Fixture fixture = new Fixture(2, s -> s.replace("\"quotaPerS\":50.0", "\"quotaPerS\":1e6"), 1024)) {
--- a/proxy/src/test/java/cacheproxy/server/ControlChannelLoopTest.java
+++ b/proxy/src/test/java/cacheproxy/server/ControlChannelLoopTest.java
@@ -249,7 +249,7 @@
         return result;
     }
 
-    /** Guards against reading the file once per request when clients send many reload requests. */
+    /** Guards against reading the file once per request when many clients request a reload and disconnect. */
     @Test
     void reloadRequestsDuringAReloadShareTheNextOne() throws Exception {
         try (ControlFixture channel = new ControlFixture()) {
--- a/proxy/src/test/java/cacheproxy/server/ControlChannelTest.java
+++ b/proxy/src/test/java/cacheproxy/server/ControlChannelTest.java
@@ -350,7 +350,10 @@
         }
     }
 
-    /** Guards against an invalid configuration that is noticed only at the next start. */
+    /**
+     * Guards against a refusal without a reason, or reported as success, so that the invalid configuration is noticed
+     * only at the next start.
+     */
     @Test
     void refusedReloadNamesFieldAndKeepsConfiguration() throws Exception {
         try (Child child = startChild()) {
@@ -667,7 +670,7 @@
         }
     }
 
-    /** Guards against two processes with one name, which an agent would count as one instance. */
+    /** Guards against two processes of one name, which reply for each other and which an agent counts as one. */
     @Test
     void secondProcessOfSameNameExitsWithDistinctCode() throws Exception {
         try (Child first = startChild()) {
--- a/proxy/src/test/java/cacheproxy/server/EventLoopStallTest.java
+++ b/proxy/src/test/java/cacheproxy/server/EventLoopStallTest.java
@@ -25,9 +25,9 @@
     }
 
     /**
- * Guards against timeouts of a stall being attributed to the endpoint or to overload: one stall once made the router
- * reject requests for seconds.
- */
+     * Guards against timeouts during a stall being attributed to the endpoint or to overload: one stall once made the
+     * router reject requests for seconds.
+     */
     @Test
     void timeoutsDuringEventLoopStallDoNotCauseLaterRejections() throws Exception {
         try (Fixture fixture = new Fixture(1)) {
@@ -35,7 +35,7 @@
             for (int i = 0; i < REQUESTS; i++) {
                 clients.add(fixture.client());
             }
-            CountDownLatch paused = new CountDownLatch(1);
+            CountDownLatch stalled = new CountDownLatch(1);
             CountDownLatch resume = new CountDownLatch(1);
             for (int i = 0; i < REQUESTS; i++) {
                 sendAndAwaitArrival(fixture, clients.get(i), i, 3000);
@@ -52,14 +52,14 @@
                 assertTrue(node.line().contains(" Ob"));
             }
             fixture.loop.execute(() -> {
-                paused.countDown();
+                stalled.countDown();
                 try {
                     resume.await();
                 } catch (InterruptedException e) {
                     Thread.currentThread().interrupt();
                 }
             });
-            paused.await();
+            stalled.await();
             long start = System.nanoTime();
             while (System.nanoTime() - start < TimeUnit.MILLISECONDS.toNanos(2 * DEADLINE_MS)) {
                 Thread.onSpinWait(); // until all deadlines have long passed
--- a/proxy/src/test/java/cacheproxy/server/ServingTest.java
+++ b/proxy/src/test/java/cacheproxy/server/ServingTest.java
@@ -128,7 +128,7 @@
         }
     }
 
-    /** The next connection to either of two nodes, which together have accepted {@code before} connections so far. */
+    /** The next connection to either of two nodes, which together have accepted {@code connectionsBefore} so far. */
     private static Peer nextConnection(Fixture fixture, int connectionsBefore) throws Exception {
         long end = System.nanoTime() + 10_000_000_000L;
         while (fixture.nodes.get(0).count() + fixture.nodes.get(1).count() <= connectionsBefore) {
--- a/proxy/src/test/java/cacheproxy/server/StrictCommandTest.java
+++ b/proxy/src/test/java/cacheproxy/server/StrictCommandTest.java
@@ -44,7 +44,7 @@
         return MS + tokens + "\r\nmn\r\nx\r\n"; // the five bytes of the value would decode as a command
     }
 
-    /** Guards against a charge that the proxy takes for a lookup, and therefore for safe to retry. */
+    /** Guards against retrying a charge: the node reads class charge, but the proxy lookup, which is safe to retry. */
     @Test
     void rejectsCommandWithTwoFieldLists() throws Exception {
         assertRejected(
--- a/proxy/src/test/java/cacheproxy/server/WarmingUpNodeLimitTest.java
+++ b/proxy/src/test/java/cacheproxy/server/WarmingUpNodeLimitTest.java
@@ -46,7 +46,7 @@
         return Fixture.list(1, true, entries);
     }
 
-    /** Computes keys that map to the cold node, as any client can from the published code and the nodes' ids. */
+    /** Keys that map to the cold node. Any client can compute them from the public code, node ids and any seed. */
     private static String[] keysOfColdNode() throws Exception {
         Path file = Files.createTempFile("config", ".json");
         Files.writeString(file, Fixture.json(Fixture.list(1, true), settings(Fixture.SETTINGS), 1024));
@@ -61,7 +61,9 @@
         }
         int[] lastEndpoint = new int[1];
         RoutingActions actions = (RoutingActions) Proxy.newProxyInstance(
-                WarmingUpNodeLimitTest.class.getClassLoader(), new Class<?>[] {RoutingActions.class}, (self, method, args) -> {
+                WarmingUpNodeLimitTest.class.getClassLoader(),
+                new Class<?>[] {RoutingActions.class},
+                (self, method, args) -> {
                     lastEndpoint[0] = method.getName().equals("sendAttempt") ? (Integer) args[1] : lastEndpoint[0];
                     return null;
                 });
@@ -102,7 +104,8 @@
     void limitsAttemptsAtWarmingUpNodeToTheProxysShare() throws Exception {
         String[] keys = keysOfColdNode();
         long startedMs = System.currentTimeMillis();
-        try (Fixture fixture = new Fixture(NODES, WarmingUpNodeLimitTest::settings, 1024, x -> endpointList(x, startedMs))) {
+        try (Fixture fixture =
+                new Fixture(NODES, WarmingUpNodeLimitTest::settings, 1024, x -> endpointList(x, startedMs))) {
             Arrivals arrivals = new Arrivals(fixture);
             Deque<Long> recentArrivalsMs = new ArrayDeque<>();
             int coldArrivals = 0;
