--- a/proxy/src/main/java/cacheproxy/server/ControlChannel.java
+++ b/proxy/src/main/java/cacheproxy/server/ControlChannel.java
@@ -60,10 +60,10 @@
         identity = ProcessIdentity.current(name);
         loop = new MultiThreadIoEventLoopGroup(
                         1,
-                        r -> {
-                            Thread t = new Thread(r, "control");
-                            t.setDaemon(true);
-                            return t;
+                        task -> {
+                            Thread thread = new Thread(task, "control");
+                            thread.setDaemon(true);
+                            return thread;
                         },
                         NioIoHandler.newFactory())
                 .next();
@@ -105,7 +105,7 @@
     /** Replies to all pending drain requests, because the process is about to end. */
     void notifyDrained(boolean all) {
         Future<?> replied = loop.submit(() -> {
-            pendingDrains.forEach(r -> r.end(Map.of("done", true, "all", all)));
+            pendingDrains.forEach(drainReply -> drainReply.end(Map.of("done", true, "all", all)));
             pendingDrains.clear();
         });
         replied.awaitUninterruptibly(LAST_REPLY_TIMEOUT_MS, TimeUnit.MILLISECONDS);
@@ -155,32 +155,32 @@
         statusRequested = true;
         statusRequestedNs = System.nanoTime();
         Future<Map<String, Object>> statusFuture = proxyLoop.submit(proxy::status);
-        statusFuture.addListener(f -> loop.execute(() -> {
+        statusFuture.addListener(future -> loop.execute(() -> {
             statusRequested = false;
-            if (f.isSuccess()) {
+            if (future.isSuccess()) {
                 lastStatus = statusFuture.getNow();
                 statusAtNs = System.nanoTime();
                 replyToAll(lastStatus);
             } else {
-                replyToAll(Map.of("phase", "faulty", "fault", String.valueOf(f.cause())));
+                replyToAll(Map.of("phase", "faulty", "fault", String.valueOf(future.cause())));
             }
         }));
         loop.schedule(this::replyIfStalled, STALLED_AFTER_MS, TimeUnit.MILLISECONDS);
     }
 
-    private void replyToAll(Map<String, Object> what) {
-        pendingStatus.forEach(r -> reply(r, what));
+    private void replyToAll(Map<String, Object> statusFields) {
+        pendingStatus.forEach(statusReply -> reply(statusReply, statusFields));
         pendingStatus.clear();
     }
 
-    private void reply(ControlServer.Reply reply, Map<String, Object> what) {
+    private void reply(ControlServer.Reply reply, Map<String, Object> statusFields) {
         Map<String, Object> all = new LinkedHashMap<>(identity);
-        all.putAll(what);
-        ConfigurationReloader r = reload;
-        if (r != null) {
-            all.put("configuration", configuration(r.last()));
-            if (r.lastRefused() != null) {
-                all.put("refused", configuration(r.lastRefused()));
+        all.putAll(statusFields);
+        ConfigurationReloader reloader = reload;
+        if (reloader != null) {
+            all.put("configuration", configuration(reloader.last()));
+            if (reloader.lastRefused() != null) {
+                all.put("refused", configuration(reloader.lastRefused()));
             }
         }
         reply.end(all);
@@ -200,12 +200,12 @@
     }
 
     private void reload(ControlServer.Reply reply) {
-        ConfigurationReloader r = reload;
-        if (r == null) {
+        ConfigurationReloader reloader = reload;
+        if (reloader == null) {
             reply.fail("it has not started yet");
             return;
         }
-        r.reload(result -> {
+        reloader.reload(result -> {
             if (result.refused() != null) {
                 reply.fail(result.refused());
             } else {
@@ -229,16 +229,17 @@
     }
 
     private void progress() {
-        pendingDrains.removeIf(r -> !r.isOpen());
+        pendingDrains.removeIf(drainReply -> !drainReply.isOpen());
         if (pendingDrains.isEmpty()) {
             progressScheduled = false;
             return;
         }
-        Future<Map<String, Object>> now = proxyLoop.submit(proxy::status);
-        now.addListener(f -> loop.execute(() -> {
-            if (f.isSuccess()) {
-                Map<String, Object> s = now.getNow();
-                pendingDrains.forEach(r -> r.part(Map.of("open", s.get("open"), "clients", s.get("clients"))));
+        Future<Map<String, Object>> progressStatus = proxyLoop.submit(proxy::status);
+        progressStatus.addListener(future -> loop.execute(() -> {
+            if (future.isSuccess()) {
+                Map<String, Object> currentStatus = progressStatus.getNow();
+                pendingDrains.forEach(drainReply -> drainReply.part(
+                        Map.of("open", currentStatus.get("open"), "clients", currentStatus.get("clients"))));
             }
         }));
         loop.schedule(this::progress, PROGRESS_INTERVAL_MS, TimeUnit.MILLISECONDS);
--- a/proxy/src/main/java/cacheproxy/server/JitWarmUp.java
+++ b/proxy/src/main/java/cacheproxy/server/JitWarmUp.java
@@ -175,18 +175,19 @@
 
     /** Cycles through the request classes, with an {@code mn} no-op now and then. */
     private String command() {
-        int i = sentRequests++;
-        if (i % 7 == 6) {
+        int number = sentRequests++;
+        if (number % 7 == 6) {
             return "mn\r\n";
         }
-        RequestClass c = classes.get(i % classes.size());
+        RequestClass requestClass = classes.get(number % classes.size());
         String tenant =
-                tenants.isEmpty() ? "" : ",t=" + RequestNames.inCommandLine(tenants.get(i % tenants.size()).name);
-        long deadlineMs = Math.max(1, c.deadlineUs / 1000);
-        String fields = "O" + (1000 + i) + " Pc=" + RequestNames.inCommandLine(c.name) + tenant + ",d=" + deadlineMs;
-        return c.idempotency == Idempotency.IDEMPOTENT
-                ? "mg 0123456789abcde" + i % 10 + " v " + fields + "\r\n"
-                : "ms 0123456789abcde" + i % 10 + " 5 " + fields + ",k=" + i + "\r\nhello\r\n";
+                tenants.isEmpty() ? "" : ",t=" + RequestNames.inCommandLine(tenants.get(number % tenants.size()).name);
+        long deadlineMs = Math.max(1, requestClass.deadlineUs / 1000);
+        String fields = "O" + (1000 + number) + " Pc=" + RequestNames.inCommandLine(requestClass.name) + tenant + ",d="
+                + deadlineMs;
+        return requestClass.idempotency == Idempotency.IDEMPOTENT
+                ? "mg 0123456789abcde" + number % 10 + " v " + fields + "\r\n"
+                : "ms 0123456789abcde" + number % 10 + " 5 " + fields + ",k=" + number + "\r\nhello\r\n";
     }
 
     /** Sends a few requests per connection until enough were sent in all. */
--- a/proxy/src/main/java/cacheproxy/server/ProxyProcess.java
+++ b/proxy/src/main/java/cacheproxy/server/ProxyProcess.java
@@ -58,11 +58,11 @@
             start(env, signals);
         } catch (InvalidInputException e) {
             writer.accept("cacheproxy: " + e.getMessage());
-            end(code(e));
+            exit(code(e));
         } catch (RuntimeException | Error e) {
             // exit explicitly: the event loop's thread would keep the process running
             writer.accept("cacheproxy: cannot start: " + e);
-            end(EXIT_CODE_LOOP_ENDED);
+            exit(EXIT_CODE_LOOP_ENDED);
         }
     }
 
@@ -72,7 +72,7 @@
     }
 
     private void start(Map<String, String> env, ProcessSignals signals) {
-        signals.onTerm(() -> end(0)); // nothing to answer yet: no request is accepted before the proxy listens
+        signals.onTerm(() -> exit(0)); // nothing to answer yet: no request is accepted before the proxy listens
         InternalLoggerFactory.setDefaultFactory(new NettyLoggerFactory(log)); // before any Netty class is loaded
         control = ProxyConfiguration.controlled(env) ? ControlChannel.open(env) : null;
         ProxyConfiguration config = ProxyConfiguration.load(env);
@@ -102,18 +102,18 @@
             cause = failure;
         } finally {
             log.line("the loop has ended, and the process with it" + (cause == null ? "" : ": " + cause));
-            end(EXIT_CODE_LOOP_ENDED);
+            exit(EXIT_CODE_LOOP_ENDED);
         }
     }
 
     private void drain(EventLoop loop, ProxyServer proxy) {
         try {
             long shutdownNoticeNs = TimeUnit.MICROSECONDS.toNanos(proxy.shutdownNoticeUs());
-            long end = System.nanoTime() + shutdownNoticeNs;
+            long endNs = System.nanoTime() + shutdownNoticeNs;
             // time-bounded, so that a hanging event loop cannot keep the process running
             Future<Void> drained =
                     loop.submit(() -> proxy.drain(DRAIN_OPEN_MS)).get(shutdownNoticeNs, TimeUnit.NANOSECONDS);
-            boolean allAnswered = drained.await(end - System.nanoTime(), TimeUnit.NANOSECONDS);
+            boolean allAnswered = drained.await(endNs - System.nanoTime(), TimeUnit.NANOSECONDS);
             log.line(allAnswered ? "ended" : "exiting with requests open");
             if (control != null) {
                 control.notifyDrained(allAnswered);
@@ -123,10 +123,10 @@
         } catch (InterruptedException | ExecutionException e) {
             log.line("shutdown aborted: " + e);
         }
-        end(0);
+        exit(0);
     }
 
-    private void end(int code) {
+    private void exit(int code) {
         try {
             writer.flush(LOG_FLUSH_TIMEOUT_MS);
         } catch (InterruptedException e) {
