--- a/proxy/src/test/java/cacheproxy/server/BadClientsTest.java
+++ b/proxy/src/test/java/cacheproxy/server/BadClientsTest.java
@@ -154,7 +154,8 @@
             while (fixture.nodes.get(0).count() + fixture.nodes.get(1).count() == 0) {
                 Thread.onSpinWait();
             }
-            Peer node = fixture.nodes.get(fixture.nodes.get(0).count() == 1 ? 0 : 1).next();
+            Peer node =
+                    fixture.nodes.get(fixture.nodes.get(0).count() == 1 ? 0 : 1).next();
             node.line();
             node.send("CLIENT_ERROR bad request\r\n");
             client.expect("CLIENT_ERROR bad request");
--- a/proxy/src/test/java/cacheproxy/server/ClientIsolationTest.java
+++ b/proxy/src/test/java/cacheproxy/server/ClientIsolationTest.java
@@ -151,7 +151,9 @@
             while (fixture.nodes.get(0).count() < 128) {
                 Thread.onSpinWait();
             }
-            long open = fixture.loop.submit(() -> fixture.proxy.reserved().get("requests")).get();
+            long open = fixture.loop
+                    .submit(() -> fixture.proxy.reserved().get("requests"))
+                    .get();
             assertTrue(open <= 128, open + " requests are open at once");
         }
     }
@@ -174,7 +176,9 @@
             for (int i = 0; i < 400; i++) {
                 most = Math.max(
                         most,
-                        fixture.loop.submit(() -> fixture.proxy.reserved().get("requests")).get());
+                        fixture.loop
+                                .submit(() -> fixture.proxy.reserved().get("requests"))
+                                .get());
                 if (client.ready()) {
                     break; // rejected for lack of capacity
                 }
@@ -281,7 +285,8 @@
     /** Guards against closing a connection 0.5 s after its last response, however much of it the client has read. */
     @Test
     void slowReaderReceivesAllResponsesDuringShutdown() throws Exception {
-        assertSlowReaderReceivesAll("", fixture -> fixture.loop.submit(() -> fixture.proxy.drain(0)).get());
+        assertSlowReaderReceivesAll(
+                "", fixture -> fixture.loop.submit(() -> fixture.proxy.drain(0)).get());
     }
 
     /** Guards against losing responses to earlier requests 0.5 s after a line that loses the framing. */
@@ -310,7 +315,10 @@
                 String id = Arrivals.command(node);
                 node.send("VA " + LARGE.length() + " " + id + "\r\n" + LARGE + "\r\n");
             }
-            while (fixture.loop.submit(() -> fixture.proxy.reserved().get("requests")).get() > 0) {
+            while (fixture.loop
+                            .submit(() -> fixture.proxy.reserved().get("requests"))
+                            .get()
+                    > 0) {
                 Thread.onSpinWait();
             }
             afterAnswered.run(fixture);
--- a/proxy/src/test/java/cacheproxy/server/ControlChannelTest.java
+++ b/proxy/src/test/java/cacheproxy/server/ControlChannelTest.java
@@ -139,7 +139,10 @@
             for (Peer p = node.poll(); p != null; p = node.poll()) {
                 connections.add(p);
             }
-            arrived[0] = connections.stream().filter(ControlChannelTest::ready).findFirst().orElse(null);
+            arrived[0] = connections.stream()
+                    .filter(ControlChannelTest::ready)
+                    .findFirst()
+                    .orElse(null);
             return arrived[0] != null;
         });
         assertEquals("O" + id, Arrivals.command(arrived[0]));
--- a/proxy/src/test/java/cacheproxy/server/ServingTest.java
+++ b/proxy/src/test/java/cacheproxy/server/ServingTest.java
@@ -360,7 +360,8 @@
             waiting.send(Fixture.read("a1", 4000));
             Peer node = fixture.nodes.get(0).next();
             command(node, 4000);
-            Future<Void> end = fixture.loop.submit(() -> fixture.proxy.drain(1500)).get();
+            Future<Void> end =
+                    fixture.loop.submit(() -> fixture.proxy.drain(1500)).get();
             Peer lateClient = fixture.client(); // still accepted, since load balancers learn of the shutdown only later
             lateClient.send("mn\r\n");
             lateClient.expect("MN");
--- a/proxy/src/test/java/cacheproxy/server/WarmingUpNodeLimitTest.java
+++ b/proxy/src/test/java/cacheproxy/server/WarmingUpNodeLimitTest.java
@@ -39,9 +39,8 @@
     private static String endpointList(Fixture fixture, long startedMs) {
         String[] entries = new String[NODES];
         for (int i = 0; i < NODES; i++) {
-            entries[i] =
-                    fixture.entry(i, "SERVING")
-                            .replace("\"started_ms\":0", "\"started_ms\":" + (i == 0 ? startedMs : 0));
+            entries[i] = fixture.entry(i, "SERVING")
+                    .replace("\"started_ms\":0", "\"started_ms\":" + (i == 0 ? startedMs : 0));
         }
         return Fixture.list(1, true, entries);
     }
