--- a/proxy/src/main/java/cacheproxy/app/Main.java
+++ b/proxy/src/main/java/cacheproxy/app/Main.java
@@ -9,7 +9,10 @@
 import java.io.FileOutputStream;
 import java.io.IOException;
 
-/** Command line: {@code serve} runs the real proxy, {@code simhost} the module on the simulator's wire. */
+/**
+ * The command line: {@code serve} runs the proxy; {@code simhost} runs the router alone, with the simulator's protocol
+ * on standard input and output.
+ */
 public final class Main {
     private Main() {}
 
@@ -25,7 +28,7 @@
     }
 
     private static void serve() {
-        ProcessSignals signals = ProcessSignals.install(); // first of all
+        ProcessSignals signals = ProcessSignals.install(); // first, so that no signal is missed during the start
         ProxyProcess.run(System.getenv(), signals);
     }
 
--- a/proxy/src/main/java/cacheproxy/configuration/FieldReader.java
+++ b/proxy/src/main/java/cacheproxy/configuration/FieldReader.java
@@ -12,24 +12,24 @@
 import java.util.Map;
 
 /**
- * Reads single fields of environment variables and JSON objects. Where a field is missing or malformed, an
- * {@link InvalidInputException} names the field, its value and what was expected, on one line.
+ * Reads environment variables and fields of JSON objects. If one is missing or malformed, an
+ * {@link InvalidInputException} names it, its value and what was expected, on one line.
  */
 public final class FieldReader {
     private static final int MAX_PORT = 65535;
 
     private FieldReader() {}
 
-    /** The value of an environment variable, without surrounding white space; it must be set and not blank. */
+    /** The value of an environment variable, which must be set and not blank, without surrounding white space. */
     public static String variable(Map<String, String> environment, String name) {
         String value = environment.get(name);
         if (value == null || value.isBlank()) {
-            throw new InvalidInputException("the variable " + name + " is not set");
+            throw new InvalidInputException("the environment variable " + name + " is not set");
         }
         return value.strip();
     }
 
-    /** The text as a JSON object, or null where it is none. */
+    /** Parses a JSON object; returns null if the text is not one. */
     public static Map<String, Object> parseObject(String text) {
         try {
             return JSON.std.mapFrom(text);
@@ -38,7 +38,7 @@
         }
     }
 
-    /** The text as a JSON object; {@code source} names the text in the error. */
+    /** Parses a JSON object; {@code source} names the text in the error. */
     static Map<String, Object> requireObject(String text, String source) {
         Map<String, Object> object = parseObject(text);
         if (object == null) {
@@ -47,26 +47,26 @@
         return object;
     }
 
-    /** A field that must be a JSON object; {@code where} names what holds it. */
-    @SuppressWarnings("unchecked") // the parser makes no other maps than these
-    static Map<String, Object> requireObject(Map<String, Object> from, String key, String where) {
-        if (from.get(key) instanceof Map<?, ?> object) {
+    /** A field that must be a JSON object; {@code container} names the enclosing object in the error. */
+    @SuppressWarnings("unchecked") // the parser creates only maps of this type
+    static Map<String, Object> requireObject(Map<String, Object> fields, String key, String container) {
+        if (fields.get(key) instanceof Map<?, ?> object) {
             return (Map<String, Object>) object;
         }
-        throw wrongType(from, key, where, "a JSON object");
+        throw wrongType(fields, key, container, "a JSON object");
     }
 
-    /** A field that must be a string and not empty; {@code where} names what holds it. */
-    public static String requireString(Map<String, Object> from, String key, String where) {
-        if (from.get(key) instanceof String string && !string.isEmpty()) {
+    /** A field that must be a non-empty string; {@code container} names the enclosing object in the error. */
+    public static String requireString(Map<String, Object> fields, String key, String container) {
+        if (fields.get(key) instanceof String string && !string.isEmpty()) {
             return string;
         }
-        throw wrongType(from, key, where, "a string that is not empty");
+        throw wrongType(fields, key, container, "a non-empty string");
     }
 
     /** A field that must be an integer of at least {@code minimum}; {@code path} names it in the error. */
-    static int requireInteger(Map<String, Object> from, String key, int minimum, String path) {
-        Object value = from.get(key);
+    static int requireInteger(Map<String, Object> fields, String key, int minimum, String path) {
+        Object value = fields.get(key);
         if (value instanceof Number number && number.intValue() >= minimum) {
             return number.intValue();
         }
@@ -74,14 +74,14 @@
                 + PrintableText.of(String.valueOf(value)));
     }
 
-    /** A field that holds an array, or an empty list where it holds none. */
-    static List<?> listOrEmpty(Map<String, Object> from, String key) {
-        return from.get(key) instanceof List<?> list ? list : List.of();
+    /** A field that is an array, or an empty list if it is not one. */
+    static List<?> listOrEmpty(Map<String, Object> fields, String key) {
+        return fields.get(key) instanceof List<?> list ? list : List.of();
     }
 
     /**
-     * A numeric IP address and port, IPv6 in brackets. Names are not resolved: the deployment has no name service, and
-     * a look-up would block the event loop.
+     * Parses a numeric IP address and port, IPv6 in brackets. Host names are not resolved: the deployment has no name
+     * service, and a look-up would block the event loop.
      *
      * @param field names the field in the error
      */
@@ -98,13 +98,13 @@
                 return new InetSocketAddress(InetAddress.getByAddress(bytes), port);
             }
         } catch (NumberFormatException | UnknownHostException e) {
-            // reported below, as every other malformed address
+            // reported below, like every other malformed address
         }
         throw new InvalidInputException(
                 field + " is not a numeric IP address and port (HOST:PORT): " + PrintableText.of(text));
     }
 
-    /** An unsigned hexadecimal number of at most 64 bits; {@code field} names it in the error. */
+    /** Parses an unsigned hexadecimal number of at most 64 bits; {@code field} names it in the error. */
     static long hexadecimal(String text, String field) {
         try {
             return Long.parseUnsignedLong(text, 16);
@@ -114,11 +114,12 @@
     }
 
     private static InvalidInputException wrongType(
-            Map<String, Object> from, String key, String where, String expected) {
-        if (from.get(key) == null) {
-            return new InvalidInputException(key + " is missing from " + where + ": expected " + expected);
+            Map<String, Object> fields, String key, String container, String expected) {
+        if (fields.get(key) == null) {
+            return new InvalidInputException(key + " is missing from " + container + ": expected " + expected);
         }
         return new InvalidInputException(
-                key + " in " + where + " is not " + expected + ": " + PrintableText.of(String.valueOf(from.get(key))));
+                key + " in " + container + " is not " + expected + ": "
+                        + PrintableText.of(String.valueOf(fields.get(key))));
     }
 }
--- a/proxy/src/main/java/cacheproxy/configuration/HostEnvironment.java
+++ b/proxy/src/main/java/cacheproxy/configuration/HostEnvironment.java
@@ -8,11 +8,11 @@
 import java.util.function.LongSupplier;
 
 /**
- * What a proxy uses of the host that it runs on, besides its event loop, whose ticker is its clock: sockets and the
+ * The parts of the host that a proxy uses besides its event loop, whose ticker is the monotonic clock: sockets and the
  * time of day. Passed in, so that a whole proxy can run on simulated ones.
  *
- * @param outgoing makes the channels for connections to endpoints and to discovery
- * @param listening makes the channel that accepts clients
+ * @param outgoing creates the channels for connections to endpoints and to discovery
+ * @param listening creates the channel that accepts clients
  * @param unixMs the Unix time in milliseconds
  */
 public record HostEnvironment(
--- a/proxy/src/main/java/cacheproxy/discovery/BackoffPolicy.java
+++ b/proxy/src/main/java/cacheproxy/discovery/BackoffPolicy.java
@@ -3,64 +3,66 @@
 import java.util.SplittableRandom;
 
 /**
- * How long to wait before a failed call is made again. While there is time until a call must have succeeded, the wait
- * is a part of that time: of many callers at a crowded service those come most often that need an answer most. Without
- * such a time it is doubled with each failure in a row. Either is bounded, and drawn from half to one and a half, so
- * that proxies whose calls failed together do not call together again.
+ * Computes the delay before a failed call is retried. While there is a deadline by which a call must succeed, the delay
+ * is a fraction of the time left: at an overloaded service, the callers with the least time left retry most often.
+ * Without a deadline the delay doubles with each consecutive failure. Both are bounded, and the delay is drawn at
+ * random between half and one and a half times the computed value, so that proxies whose calls failed together do not
+ * retry together.
  */
 final class BackoffPolicy {
-    /** Of the bound: a doubling further has no meaning. */
-    private static final int MOST_DOUBLINGS = 16;
+    /** Limits the shift; the delay has reached its bound long before. */
+    private static final int MAX_DOUBLINGS = 16;
 
-    /** For so many calls there is to be time. */
-    private static final int CALLS_IN_TIME_LEFT = 4;
+    /** How many delays fit into the time left before the deadline. */
+    private static final int DELAYS_IN_TIME_LEFT = 4;
 
-    private final int firstMs;
-    private final int mostMs;
+    private final int initialDelayMs;
+    private final int maxDelayMs;
     private final SplittableRandom random;
-    private int failures;
+    private int consecutiveFailures;
 
-    /** {@code mostMs}: before the draw, which makes one and a half of it at most. */
-    BackoffPolicy(int firstMs, int mostMs, SplittableRandom random) {
-        this.firstMs = firstMs;
-        this.mostMs = mostMs;
+    /** {@code maxDelayMs} bounds the delay before the random draw, which returns at most one and a half times that. */
+    BackoffPolicy(int initialDelayMs, int maxDelayMs, SplittableRandom random) {
+        this.initialDelayMs = initialDelayMs;
+        this.maxDelayMs = maxDelayMs;
         this.random = random;
     }
 
-    /** Milliseconds to wait after one more failure, where no time is set by which a call must succeed. */
-    int nextMs(long callTookMs) {
-        return nextMs(callTookMs, 0);
+    /** Records a failure and returns the delay in milliseconds, where there is no deadline. */
+    int nextDelayMs(long callDurationMs) {
+        return nextDelayMs(callDurationMs, 0);
     }
 
     /**
-     * Milliseconds to wait after one more failure, with so much time left for a call to succeed. What the failed call
-     * has taken itself counts as waited, up to the first of these waits: a call that a crowded service has let wait is
-     * repeated soon.
+     * Records a failure and returns the delay in milliseconds, with {@code timeLeftMs} left until the deadline; 0 or
+     * less means that there is no deadline, or that it has passed. The duration of the failed call is subtracted, but
+     * not below the initial delay: a call that an overloaded service has kept waiting is retried soon.
      */
-    int nextMs(long callTookMs, long timeLeftMs) {
-        int wait = drawn(Math.min(mostMs, timeLeftMs > 0 ? partOf(timeLeftMs) : doubled()));
-        long left = wait - Math.max(0, callTookMs);
-        return (int) Math.max(left, drawn(Math.min(mostMs, firstMs)));
+    int nextDelayMs(long callDurationMs, long timeLeftMs) {
+        int delayMs = withJitter(Math.min(maxDelayMs, timeLeftMs > 0 ? fractionOf(timeLeftMs) : doubledDelayMs()));
+        long remainingMs = delayMs - Math.max(0, callDurationMs);
+        return (int) Math.max(remainingMs, withJitter(Math.min(maxDelayMs, initialDelayMs)));
     }
 
-    private long partOf(long timeLeftMs) {
-        failures = 0;
-        return Math.max(firstMs, timeLeftMs / CALLS_IN_TIME_LEFT);
+    private long fractionOf(long timeLeftMs) {
+        consecutiveFailures = 0;
+        return Math.max(initialDelayMs, timeLeftMs / DELAYS_IN_TIME_LEFT);
     }
 
-    private long doubled() {
-        long wait = (long) firstMs << Math.min(failures, MOST_DOUBLINGS);
-        failures++;
-        return wait;
+    private long doubledDelayMs() {
+        long delayMs = (long) initialDelayMs << Math.min(consecutiveFailures, MAX_DOUBLINGS);
+        consecutiveFailures++;
+        return delayMs;
     }
 
-    private int drawn(long mean) {
-        int meanMs = (int) Math.max(1, mean);
-        return Math.max(1, meanMs / 2 + random.nextInt(meanMs)); // a call that fails at once must not spin
+    private int withJitter(long delayMs) {
+        int meanMs = (int) Math.max(1, delayMs);
+        // At least 1 ms, or a call that fails at once would be retried in a busy loop.
+        return Math.max(1, meanMs / 2 + random.nextInt(meanMs));
     }
 
-    /** A call has succeeded: the next failure is a first one. */
-    void succeeded() {
-        failures = 0;
+    /** Starts over: the next failure counts as the first. */
+    void reset() {
+        consecutiveFailures = 0;
     }
 }
--- a/proxy/src/main/java/cacheproxy/discovery/CallTimeouts.java
+++ b/proxy/src/main/java/cacheproxy/discovery/CallTimeouts.java
@@ -1,55 +1,59 @@
 package cacheproxy.discovery;
 
 /**
- * The timeouts of the next call to discovery, in milliseconds. They grow once the service has proved slow, and go back
- * as soon as it is quick again.
+ * The timeouts of the next call to discovery, in milliseconds. They are raised after the service was slow to connect or
+ * to respond, and lowered again once it connects and responds in time.
  */
 final class CallTimeouts {
-    /** After so many connections in a row that did not come up the service counts as unreachable. */
-    private static final int UNREACHABLE_AFTER = 3;
+    /** The service counts as unreachable after this many consecutive failures to connect. */
+    private static final int UNREACHABLE_AFTER_FAILURES = 3;
 
-    private final boolean pushed;
-    private final int pushStepMs;
-    private int connectFailuresInRow;
-    /** The last call that connected got no answer in time. */
-    private boolean lastUnanswered;
+    private final boolean agentPushesLists;
+    private final int pushTimeoutMs;
+    private int consecutiveConnectFailures;
+    /** Whether the last call that connected received no response in time. */
+    private boolean lastCallUnanswered;
 
     /**
-     * @param pushed whether an agent pushes lists
-     * @param pushStepMs see {@link WatchTimeouts#pushStepMs}
+     * @param agentPushesLists whether an agent pushes endpoint lists
+     * @param pushTimeoutMs see {@link WatchTimeouts#pushTimeoutMs}
      */
-    CallTimeouts(boolean pushed, int pushStepMs) {
-        this.pushed = pushed;
-        this.pushStepMs = pushStepMs;
+    CallTimeouts(boolean agentPushesLists, int pushTimeoutMs) {
+        this.agentPushesLists = agentPushesLists;
+        this.pushTimeoutMs = pushTimeoutMs;
     }
 
-    int connectMs() {
-        if (pushed) {
-            return pushStepMs;
+    int connectTimeoutMs() {
+        if (agentPushesLists) {
+            return pushTimeoutMs;
         }
-        return connectFailuresInRow < UNREACHABLE_AFTER ? WatchTimeouts.CONNECT_MS : WatchTimeouts.SLOW_CONNECT_MS;
+        return consecutiveConnectFailures < UNREACHABLE_AFTER_FAILURES
+                ? WatchTimeouts.CONNECT_TIMEOUT_MS
+                : WatchTimeouts.SLOW_CONNECT_TIMEOUT_MS;
     }
 
-    /** From the connection to the first byte of the answer. */
-    int firstByteMs() {
-        return lastUnanswered && !pushed ? WatchTimeouts.SLOW_FIRST_BYTE_MS : WatchTimeouts.FIRST_BYTE_MS;
+    /** The time from the connection to the first byte of the response. */
+    int firstByteTimeoutMs() {
+        return lastCallUnanswered && !agentPushesLists
+                ? WatchTimeouts.SLOW_FIRST_BYTE_TIMEOUT_MS
+                : WatchTimeouts.FIRST_BYTE_TIMEOUT_MS;
     }
 
     void connected() {
-        connectFailuresInRow = 0;
+        consecutiveConnectFailures = 0;
     }
 
-    /** Returns whether the service counts as unreachable from this failure on. */
+    /** Records a failure to connect; returns true for the failure from which on the service counts as unreachable. */
     boolean connectFailed() {
-        connectFailuresInRow++;
-        return connectFailuresInRow == UNREACHABLE_AFTER;
+        consecutiveConnectFailures++;
+        return consecutiveConnectFailures == UNREACHABLE_AFTER_FAILURES;
     }
 
-    void answered() {
-        lastUnanswered = false;
+    void responded() {
+        lastCallUnanswered = false;
     }
 
-    void unanswered() {
-        lastUnanswered = true;
+    void responseTimedOut() {
+        lastCallUnanswered = true;
     }
 }
--- a/proxy/src/main/java/cacheproxy/discovery/DiscoveryCall.java
+++ b/proxy/src/main/java/cacheproxy/discovery/DiscoveryCall.java
@@ -32,13 +32,14 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * One HTTP request to discovery: a watch, whose answer is endpoint lists without end, or a single list. It connects
- * when it is started and closes its connection itself, on a failure or by {@link #close}. Used on the event loop only.
+ * One HTTP request to discovery: either a watch, whose response is an endless stream of endpoint lists, or a request
+ * for a single list. It connects when it is started and closes its connection itself, on a failure or by
+ * {@link #close}. Used on the event loop only.
  */
 final class DiscoveryCall extends SimpleChannelInboundHandler<HttpObject> implements EndpointListDecoder.Output {
-    /** What a call needs of the client that makes it. */
+    /** The client that makes the call and is notified of its events. */
     interface Owner {
-        /** Whether this call is the watch now. */
+        /** Whether this call is the current watch. */
         boolean isWatch(DiscoveryCall call);
 
         /**
@@ -48,68 +49,70 @@
          */
         void listReceived(DiscoveryCall call, Map<String, Object> list);
 
-        /** The watch has sent something, and all that it has sent could be read. */
-        void watchHeard();
+        /** The watch has sent data, and all that it has sent was decoded. */
+        void watchUpToDate();
 
-        /** The call has ended, and not by {@link DiscoveryCall#close}; its connection is closed already. */
+        /** The call has ended other than by {@link DiscoveryCall#close}; its connection is already closed. */
         void callFailed(DiscoveryCall call);
 
         void connectFailed();
     }
 
     private final Owner owner;
-    private final EventLoop loop;
+    private final EventLoop eventLoop;
     private final EventLoopClock clock;
     private final CallTimeouts timeouts;
     private final Log log;
     private final int number;
     private final InetSocketAddress service;
-    private final boolean watches;
-    private final boolean pushed;
-    private final long startedNs;
-    private final EndpointListDecoder decoder = new EndpointListDecoder(this);
-    private long lastReadNs;
-    /** The timer of the list that has begun and not ended; null where there is none. */
-    private Future<?> listEndTimer;
-
-    private int listsBeforeTimer;
+    private final boolean watching;
+    private final boolean agentPushesLists;
+    private final long startTimeNs;
+    private final EndpointListDecoder listDecoder = new EndpointListDecoder(this);
+    private long lastReadTimeNs;
+    /** The timeout of the list that is being received; null if there is none. */
+    private Future<?> listTimeout;
+
+    private int endedListsAtTimeout;
     private Channel channel;
     private boolean closed;
-    private boolean answered;
+    private boolean responded;
     private boolean timedOut;
     private boolean listAccepted;
     /**
-     * Why a list was skipped; null where none was. The call fails at the end of this read, so that the lists which came
-     * with it are handled: each entry has an endpoint's whole state, and a drain among them may count as notified.
+     * Why a list was skipped; null if none was. The call fails only at the end of the current read, so that the other
+     * lists of that read are still handled: each entry has an endpoint's complete state, and a drain among them may
+     * already count as notified.
      */
     private String skipReason;
 
     /**
-     * @param number names the call in the log
-     * @param watches whether the answer is not expected to end
-     * @param pushed whether an agent pushes lists, so that a watch without a list is up to date as well
+     * @param number identifies the call in the log
+     * @param watching whether the call is a watch, whose response is not expected to end
+     * @param agentPushesLists whether an agent pushes endpoint lists; then a watch that has sent no list is up to date
+     *     as well
      */
     DiscoveryCall(
             Owner owner,
-            EventLoop loop,
+            EventLoop eventLoop,
             EventLoopClock clock,
             CallTimeouts timeouts,
             Log log,
             int number,
             InetSocketAddress service,
-            boolean watches,
-            boolean pushed) {
+            boolean watching,
+            boolean agentPushesLists) {
         this.owner = owner;
-        this.loop = loop;
+        this.eventLoop = eventLoop;
         this.clock = clock;
         this.timeouts = timeouts;
         this.log = log;
         this.number = number;
         this.service = service;
-        this.watches = watches;
-        this.pushed = pushed;
-        startedNs = nowNs();
-        lastReadNs = startedNs;
+        this.watching = watching;
+        this.agentPushesLists = agentPushesLists;
+        startTimeNs = nowNs();
+        lastReadTimeNs = startTimeNs;
     }
 
     /** Connects and sends the request for {@code path}. */
@@ -119,34 +122,34 @@
                 "discovery call " + number + ": GET " + path + " at " + NetUtil.toSocketAddressString(service));
         DiscoveryCall call = this;
         new Bootstrap()
-                .group(loop)
+                .group(eventLoop)
                 .channelFactory(channels)
-                .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, timeouts.connectMs())
+                .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, timeouts.connectTimeoutMs())
                 .handler(new ChannelInitializer<Channel>() {
                     @Override
-                    protected void initChannel(Channel ch) {
-                        channel = ch;
-                        ch.pipeline()
+                    protected void initChannel(Channel newChannel) {
+                        channel = newChannel;
+                        newChannel.pipeline()
                                 .addLast(
-                                        new ReadSilenceHandler(clock, timeouts.firstByteMs()),
+                                        new ReadSilenceHandler(clock, timeouts.firstByteTimeoutMs()),
                                         new HttpClientCodec(),
                                         call);
                     }
                 })
                 .connect(service)
-                .addListener(EventLoopListeners.onLoop(loop, future -> connectCompleted(future, path)));
+                .addListener(EventLoopListeners.onLoop(eventLoop, future -> connectCompleted(future, path)));
     }
 
     private void connectCompleted(ChannelFuture future, String path) {
         if (!future.isSuccess()) {
             owner.connectFailed();
-            fail("no connection");
+            fail("connection failed");
             return;
         }
         timeouts.connected();
-        DefaultFullHttpRequest get = new DefaultFullHttpRequest(HttpVersion.HTTP_1_1, HttpMethod.GET, path);
-        get.headers().set(HttpHeaderNames.HOST, NetUtil.toSocketAddressString(service));
-        future.channel().writeAndFlush(get);
+        DefaultFullHttpRequest request = new DefaultFullHttpRequest(HttpVersion.HTTP_1_1, HttpMethod.GET, path);
+        request.headers().set(HttpHeaderNames.HOST, NetUtil.toSocketAddressString(service));
+        future.channel().writeAndFlush(request);
     }
 
     int number() {
@@ -157,12 +160,12 @@
         return service;
     }
 
-    long startedNs() {
-        return startedNs;
+    long startTimeNs() {
+        return startTimeNs;
     }
 
     long elapsedMs() {
-        return msSince(startedNs);
+        return elapsedMsSince(startTimeNs);
     }
 
     /** Whether a list was skipped. */
@@ -170,22 +173,22 @@
         return skipReason != null;
     }
 
-    /** Whether a watch that has failed was of use: it was answered, or fell silent, and could be read. */
-    boolean wasOfUse() {
-        return skipReason == null && (answered || timedOut);
+    /** Whether a failed watch had worked before: it responded or timed out, and none of its lists was skipped. */
+    boolean hadWorked() {
+        return skipReason == null && (responded || timedOut);
     }
 
     void acceptedList() {
         listAccepted = true;
     }
 
-    /** From here on the call ends where nothing comes for {@link WatchTimeouts#SILENCE_MS}. */
+    /** From here on the call fails if nothing is received for {@link WatchTimeouts#MAX_SILENCE_MS}. */
     void expectHeartbeats() {
         channel.pipeline()
-                .replace(ReadSilenceHandler.class, null, new ReadSilenceHandler(clock, WatchTimeouts.SILENCE_MS));
+                .replace(ReadSilenceHandler.class, null, new ReadSilenceHandler(clock, WatchTimeouts.MAX_SILENCE_MS));
     }
 
-    /** Ends the call, with the reason in the log; the owner is not notified. */
+    /** Ends the call and logs the reason; the owner is not notified. */
     void close(String reason) {
         log.line(Log.Topic.DISCOVERY, "discovery call " + number + " closed: " + reason);
         close();
@@ -194,7 +197,7 @@
     /** Ends the call; the owner is not notified. */
     void close() {
         closed = true;
-        decoder.stop();
+        listDecoder.stop();
         if (channel != null) {
             channel.close();
         }
@@ -208,7 +211,7 @@
         log.line(
                 Log.Topic.DISCOVERY,
                 "discovery: " + reason + " (call " + number + ", " + elapsedMs() + " ms after its start, silent for "
-                        + msSince(lastReadNs) + " ms)");
+                        + elapsedMsSince(lastReadTimeNs) + " ms)");
         owner.callFailed(this);
     }
 
@@ -217,67 +220,67 @@
         if (closed) {
             return;
         }
-        lastReadNs = nowNs();
+        lastReadTimeNs = nowNs();
         if (message.decoderResult().isFailure()) {
-            fail("an answer that is no HTTP");
+            fail("response is not valid HTTP");
             return;
         }
         if (message instanceof HttpResponse response && !response.status().equals(HttpResponseStatus.OK)) {
             fail("answer " + response.status().code());
             return;
         }
-        timeouts.answered();
-        if (!answered && owner.isWatch(this)) {
+        timeouts.responded();
+        if (!responded && owner.isWatch(this)) {
             expectHeartbeats();
         }
-        answered = true;
+        responded = true;
         if (message instanceof HttpContent content) {
             decode(ByteBufUtil.getBytes(content.content()));
             if (!closed && owner.isWatch(this) && isUpToDate()) {
-                owner.watchHeard();
+                owner.watchUpToDate();
             }
             if (content instanceof LastHttpContent && !closed) {
-                answerEnded();
+                responseEnded();
             }
         }
     }
 
     private void decode(byte[] bytes) {
-        boolean inBounds = decoder.decode(bytes);
-        if (listEndTimer != null && decoder.listsEnded() != listsBeforeTimer) {
-            listEndTimer.cancel(false);
-            listEndTimer = null;
+        boolean withinSizeLimit = listDecoder.decode(bytes);
+        if (listTimeout != null && listDecoder.endedLists() != endedListsAtTimeout) {
+            listTimeout.cancel(false);
+            listTimeout = null;
         }
-        if (!inBounds) {
-            fail("a list too long");
+        if (!withinSizeLimit) {
+            fail("endpoint list exceeds the size limit");
         }
-        if (decoder.insideList() && listEndTimer == null && !closed) {
-            int listsBefore = decoder.listsEnded();
-            listsBeforeTimer = listsBefore;
-            listEndTimer = clock.schedule(
-                    WatchTimeouts.LIST_END_MS * 1000L,
-                    () -> clock.scheduleAfterRead(() -> failUnlessListEnded(listsBefore)));
+        if (listDecoder.isInsideList() && listTimeout == null && !closed) {
+            int endedListsBefore = listDecoder.endedLists();
+            endedListsAtTimeout = endedListsBefore;
+            listTimeout = clock.schedule(
+                    WatchTimeouts.LIST_TIMEOUT_MS * 1000L,
+                    () -> clock.scheduleAfterRead(() -> failUnlessListCompleted(endedListsBefore)));
         }
     }
 
-    /** A list that arrives byte by byte without end would keep a watch from ever falling silent. */
-    private void failUnlessListEnded(int listsBefore) {
-        if (decoder.listsEnded() == listsBefore && decoder.insideList() && !closed) {
+    /** Without this timeout, a list that arrives byte by byte would keep the watch from ever timing out as silent. */
+    private void failUnlessListCompleted(int endedListsBefore) {
+        if (listDecoder.endedLists() == endedListsBefore && listDecoder.isInsideList() && !closed) {
             timedOut = true;
-            fail("a list that does not end");
+            fail("endpoint list was not completed in time");
         }
     }
 
     private boolean isUpToDate() {
-        return !decoder.insideList() && skipReason == null && (pushed || listAccepted);
+        return !listDecoder.isInsideList() && skipReason == null && (agentPushesLists || listAccepted);
     }
 
-    private void answerEnded() {
-        if (decoder.insideList()) {
+    private void responseEnded() {
+        if (listDecoder.isInsideList()) {
             skipReason = EndpointListDecoder.TRUNCATED;
         }
-        if (watches) {
-            fail("the watch has ended");
+        if (watching) {
+            fail("discovery ended the watch");
         } else if (skipReason == null) {
             close();
         }
@@ -288,7 +291,7 @@
         try {
             owner.listReceived(this, list);
         } catch (InvalidInputException e) {
-            listSkipped("a list is skipped: " + e.getMessage());
+            listSkipped("endpoint list skipped: " + e.getMessage());
         }
     }
 
@@ -307,23 +310,23 @@
 
     @Override
     public void channelInactive(ChannelHandlerContext ctx) {
-        fail("the connection has ended");
+        fail("connection closed");
     }
 
     @Override
     public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
         timedOut = cause instanceof ReadTimeoutException;
-        if (timedOut && !answered) {
-            timeouts.unanswered();
+        if (timedOut && !responded) {
+            timeouts.responseTimedOut();
         }
         fail(cause.getClass().getSimpleName());
     }
 
     private long nowNs() {
-        return loop.ticker().nanoTime();
+        return eventLoop.ticker().nanoTime();
     }
 
-    private long msSince(long ns) {
-        return TimeUnit.NANOSECONDS.toMillis(nowNs() - ns);
+    private long elapsedMsSince(long sinceNs) {
+        return TimeUnit.NANOSECONDS.toMillis(nowNs() - sinceNs);
     }
 }
--- a/proxy/src/main/java/cacheproxy/discovery/DiscoveryClient.java
+++ b/proxy/src/main/java/cacheproxy/discovery/DiscoveryClient.java
@@ -15,137 +15,142 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Keeps the endpoint list up to date by a watch at the discovery service, which is begun again whenever it is lost, and
- * by single lists on request. Its {@link EndpointListListener} is notified of each list that is accepted. A list that
- * cannot be read is skipped and ends its call as failed, because the changes after it would not fit the list held.
+ * Keeps the endpoint list up to date by a watch at the discovery service, which is restarted whenever it is lost, and
+ * by fetching single lists on request. Its {@link EndpointListListener} is notified of each list that is accepted. A
+ * list that cannot be decoded is skipped and fails its call, because later changes would not apply to the list held.
  *
- * <p>The times of all this are in {@link WatchTimeouts}. Used on the event loop only.
+ * <p>The timeouts and delays are in {@link WatchTimeouts}. Used on the event loop only.
  */
 public final class DiscoveryClient {
     private static final String LIST_PATH = "/registry/instances";
     private static final String WATCH_PATH = LIST_PATH + "?stream=1&index=";
-    private static final long PROMPT_RETRY_GAP_NS = TimeUnit.MILLISECONDS.toNanos(WatchTimeouts.PROMPT_RETRY_GAP_MS);
+    private static final long MIN_PROMPT_RETRY_INTERVAL_NS =
+            TimeUnit.MILLISECONDS.toNanos(WatchTimeouts.MIN_PROMPT_RETRY_INTERVAL_MS);
 
     private final EndpointListListener listener;
     private final EventLoopClock clock;
-    private final EventLoop loop;
+    private final EventLoop eventLoop;
     private final HostEnvironment host;
     private final SplittableRandom random;
     private final Log log;
-    /** Whether an agent pushes lists: what it has counts as notified at once, and calls to it cost nothing. */
-    private final boolean pushed;
+    /** Whether an agent pushes endpoint lists: its changes count as notified at once, and calls to it cost nothing. */
+    private final boolean agentPushesLists;
 
     private final CallTimeouts timeouts;
-    /** The list of the configuration, in the form in which discovery sends it. */
+    /** The endpoint list of the configuration, in the format of discovery. */
     private final Map<String, Object> knownList;
 
     private final EndpointListParser parser;
-    private final EndpointNumbers numbers = new EndpointNumbers();
+    private final EndpointNumbers endpointNumbers = new EndpointNumbers();
     private final ListVersion version;
     private InetSocketAddress service;
     private final ServiceMigration migration;
 
     private DiscoveryCall watch;
-    /** The timer after which a lost watch is begun again; null where there is none. */
+    /** The timer that restarts a lost watch; null if there is none. */
     private Future<?> watchRetry;
 
     private final BackoffPolicy watchBackoff;
     private long lastPromptRetryNs;
     private long firstCallNs;
-    /** Whether the watch has been heard since the start. */
-    private boolean heard;
-    /** When the watch was heard last; meaningless before {@link #heard}. */
-    private long lastHeardNs;
+    /** Whether a watch has been up to date at any time since the start. */
+    private boolean hasBeenUpToDate;
+    /** When a watch was last up to date; meaningless before {@link #hasBeenUpToDate}. */
+    private long lastUpToDateNs;
 
     private int callsStarted;
     private final CallEvents callEvents = new CallEvents();
 
-    /** {@code config} has the service's address and the last known list; nothing is called before {@link #begin}. */
+    /** {@code config} has the service's address and the last known list; no call is made before {@link #begin}. */
     public DiscoveryClient(
             EndpointListListener listener,
             EventLoopClock clock,
             ProxyConfiguration config,
-            EventLoop loop,
+            EventLoop eventLoop,
             HostEnvironment host,
             Log log) {
         this.listener = listener;
         this.clock = clock;
-        this.loop = loop;
+        this.eventLoop = eventLoop;
         this.host = host;
         this.log = log;
         random = new SplittableRandom(config.seed);
-        lastPromptRetryNs = nowNs() - PROMPT_RETRY_GAP_NS;
+        lastPromptRetryNs = nowNs() - MIN_PROMPT_RETRY_INTERVAL_NS;
         service = config.discovery;
-        pushed = !config.settings.subscribeRequired;
-        int pushStepMs = WatchTimeouts.pushStepMs(config.settings.drainGraceUs / 1000);
-        timeouts = new CallTimeouts(pushed, pushStepMs);
-        watchBackoff = pushed
-                ? new BackoffPolicy(WatchTimeouts.PROMPT_RETRY_MS, pushStepMs, random)
-                : new BackoffPolicy(WatchTimeouts.FIRST_BACKOFF_MS, WatchTimeouts.MAX_BACKOFF_MS, random);
+        agentPushesLists = !config.settings.subscribeRequired;
+        int pushTimeoutMs = WatchTimeouts.pushTimeoutMs(config.settings.drainGraceUs / 1000);
+        timeouts = new CallTimeouts(agentPushesLists, pushTimeoutMs);
+        watchBackoff = agentPushesLists
+                ? new BackoffPolicy(WatchTimeouts.MIN_PROMPT_RETRY_DELAY_MS, pushTimeoutMs, random)
+                : new BackoffPolicy(WatchTimeouts.INITIAL_BACKOFF_MS, WatchTimeouts.MAX_BACKOFF_MS, random);
         migration = new ServiceMigration(
-                loop,
-                pushed,
+                eventLoop,
+                agentPushesLists,
                 new BackoffPolicy(
-                        WatchTimeouts.FIRST_BACKOFF_MS, pushed ? pushStepMs : WatchTimeouts.MAX_BACKOFF_MS, random),
+                        WatchTimeouts.INITIAL_BACKOFF_MS,
+                        agentPushesLists ? pushTimeoutMs : WatchTimeouts.MAX_BACKOFF_MS,
+                        random),
                 () -> startCall(WATCH_PATH + 0, true));
         knownList = config.known;
         parser = new EndpointListParser(config, clock::fromUnixMs);
         version = new ListVersion(EndpointListParser.version(knownList));
     }
 
-    /** The list of the configuration; to be handled before any other, because it is older. */
+    /** The endpoint list of the configuration; to be handled before any other list, because it is older. */
     public List<Endpoint> known() {
         return numbered(parser.entries(knownList));
     }
 
-    /** Sets the numbers. Only of lists that are accepted: the numbers of others would never be given back. */
+    /** Assigns the numbers. To be called only for accepted lists: numbers of rejected ones would never be released. */
     private List<Endpoint> numbered(List<Endpoint> endpoints) {
         for (Endpoint endpoint : endpoints) {
-            endpoint.node().id = numbers.of(endpoint.name());
+            endpoint.node().id = endpointNumbers.numberOf(endpoint.name());
         }
         return endpoints;
     }
 
-    /** How many endpoints have a number. */
+    /** The number of endpoints that have a number assigned. */
     public int numberedEndpoints() {
-        return numbers.size();
+        return endpointNumbers.size();
     }
 
-    /** Gives back the number of an endpoint that has left for good: each new machine gets a new id. */
+    /** Releases the number of an endpoint that is gone. Its id never returns: each new machine gets a new one. */
     public void forget(int number) {
-        numbers.forget(number);
+        endpointNumbers.release(number);
     }
 
     /**
-     * Begins the first watch, without delay: a restarted process holds the list of its configuration, of any age, and
-     * what has changed since counts as notified to it as well.
+     * Starts the first watch, without the delay of the router's poll policy: after a restart the process holds the list
+     * of its configuration, which may be of any age, while the changes since then already count as notified. Where
+     * discovery is polled, a random delay of up to {@link WatchTimeouts#FIRST_CALL_SPREAD_MS} spreads the calls of
+     * proxies that start together.
      */
     public void begin() {
         firstCallNs = nowNs();
-        if (pushed) {
+        if (agentPushesLists) {
             watch();
         } else {
             retryWatchAfter(random.nextInt(WatchTimeouts.FIRST_CALL_SPREAD_MS));
         }
     }
 
-    /** Begins a watch, unless there is one or one is about to begin: each call costs the service list lines. */
+    /** Starts a watch unless one is open or scheduled, because each call makes the service send list lines. */
     public void watch() {
-        if (migration.active() || watch != null || watchRetry != null) {
+        if (migration.isActive() || watch != null || watchRetry != null) {
             return;
         }
         watch = startCall(WATCH_PATH + version.held(), true);
     }
 
-    /** Asks for a single list with all endpoints. */
+    /** Requests a single list of all endpoints. */
     public void fetch() {
         startCall(LIST_PATH, false);
     }
 
     /**
-     * Migrates to a service at another address; nothing where it is the same address. The list held serves on, and so
-     * does the old watch while it lasts, until the new service has sent its first list. It is asked for all endpoints,
-     * because its versions are its own.
+     * Migrates to a discovery service at another address; does nothing if the address is unchanged. Until the new
+     * service has sent its first list, the list held stays in use, and so does the old watch while it lasts. The new
+     * service is asked for all endpoints, because its list versions are unrelated to those of the old one.
      */
     public void move(InetSocketAddress to) {
         if (to.equals(service)) {
@@ -156,9 +161,9 @@
         migration.begin();
     }
 
-    private DiscoveryCall startCall(String path, boolean watches) {
-        DiscoveryCall call =
-                new DiscoveryCall(callEvents, loop, clock, timeouts, log, ++callsStarted, service, watches, pushed);
+    private DiscoveryCall startCall(String path, boolean watching) {
+        DiscoveryCall call = new DiscoveryCall(
+                callEvents, eventLoop, clock, timeouts, log, ++callsStarted, service, watching, agentPushesLists);
         call.start(host.outgoing(), path);
         return call;
     }
@@ -167,7 +172,7 @@
         if (watchRetry != null) {
             return;
         }
-        watchRetry = loop.schedule(
+        watchRetry = eventLoop.schedule(
                 () -> {
                     watchRetry = null;
                     watch();
@@ -176,47 +181,48 @@
                 TimeUnit.MILLISECONDS);
     }
 
-    private void notifyFailed() {
+    private void notifyCallFailed() {
         listener.endpointsReceived(EndpointListKind.FAILED, List.of());
     }
 
     /**
-     * Begins the watch again by a timer of its own: the router's backoff after a failure is longer than the time until
-     * a change counts as notified.
+     * Restarts the watch by a timer of this class: the router's own backoff after a failure is longer than the time
+     * until a change counts as notified.
      */
     private void watchLost(DiscoveryCall lost) {
         watch = null;
-        if (migration.active()) {
-            return; // the old service ends its watches when it is replaced
+        if (migration.isActive()) {
+            return; // expected: the old service ends its watches when it is replaced
         }
         long nowNs = nowNs();
-        if (pushed) {
-            if (nowNs - lost.startedNs() > PROMPT_RETRY_GAP_NS) {
-                watchBackoff.succeeded();
+        if (agentPushesLists) {
+            if (nowNs - lost.startTimeNs() > MIN_PROMPT_RETRY_INTERVAL_NS) {
+                watchBackoff.reset();
             }
-            retryWatchAfter(watchBackoff.nextMs(lost.elapsedMs()));
-        } else if (lost.wasOfUse() && nowNs - lastPromptRetryNs > PROMPT_RETRY_GAP_NS) {
+            retryWatchAfter(watchBackoff.nextDelayMs(lost.elapsedMs()));
+        } else if (lost.hadWorked() && nowNs - lastPromptRetryNs > MIN_PROMPT_RETRY_INTERVAL_NS) {
             lastPromptRetryNs = nowNs;
-            retryWatchAfter(WatchTimeouts.PROMPT_RETRY_MS + random.nextInt(WatchTimeouts.PROMPT_RETRY_SPREAD_MS));
+            retryWatchAfter(
+                    WatchTimeouts.MIN_PROMPT_RETRY_DELAY_MS + random.nextInt(WatchTimeouts.PROMPT_RETRY_SPREAD_MS));
         } else {
-            retryWatchAfter(watchBackoff.nextMs(lost.elapsedMs(), timeLeftMs()));
-            notifyFailed();
+            retryWatchAfter(watchBackoff.nextDelayMs(lost.elapsedMs(), timeLeftMs()));
+            notifyCallFailed();
         }
     }
 
     /**
-     * The time until a change that was not received may count as notified, in milliseconds; not above 0 where it may
-     * already. A process that has not heard the watch has no time left: it gets 1 ms, which asks for the shortest
+     * The time in milliseconds until a change that was not received may count as notified; 0 or less if it may already.
+     * A process whose watch has not been up to date yet has no time left: it gets 1 ms, which selects the shortest
      * backoff, until {@link WatchTimeouts#NOTIFIED_AT_LATEST_MS} after its first call.
      */
     private long timeLeftMs() {
-        long sinceNs = heard ? lastHeardNs : firstCallNs;
+        long sinceNs = hasBeenUpToDate ? lastUpToDateNs : firstCallNs;
         long leftMs = WatchTimeouts.NOTIFIED_AT_LATEST_MS - TimeUnit.NANOSECONDS.toMillis(nowNs() - sinceNs);
-        return heard ? leftMs : Math.min(1, leftMs);
+        return hasBeenUpToDate ? leftMs : Math.min(1, leftMs);
     }
 
-    /** Whether a list is older than the one held; then its call is ended here, and the watch begun again. */
-    private boolean isStale(DiscoveryCall call, long received, boolean full) {
+    /** Returns true if a list is rejected as older than the one held; its call is ended and the watch restarted. */
+    private boolean rejectIfStale(DiscoveryCall call, long received, boolean full) {
         ListVersion.Check check = version.check(received, nowNs());
         if (check == ListVersion.Check.ACCEPT) {
             return false;
@@ -224,41 +230,43 @@
         boolean restarted = check == ListVersion.Check.RESTARTED;
         log.line(
                 Log.Topic.DISCOVERY,
-                "discovery tells version " + received + " after " + version.held()
-                        + (restarted ? ": it has begun anew" : ": not taken") + " (call " + call.number() + ")");
+                "discovery sent version " + received + " after " + version.held()
+                        + (restarted ? ": the service has restarted" : ": not taken")
+                        + " (call " + call.number() + ")");
         if (restarted && full) {
-            version.accepted();
+            version.resetStaleCalls();
             return false;
         }
         if (restarted) {
-            version.hold(0); // these are changes to a list that we never had: the next watch asks for all endpoints
+            version.hold(0); // changes to a list that was never received: the next watch requests all endpoints
         }
         call.close();
         if (call == watch) {
             watch = null;
-            retryWatchAfter(WatchTimeouts.STALE_RETRY_MS + random.nextInt(WatchTimeouts.STALE_RETRY_MS));
+            retryWatchAfter(
+                    WatchTimeouts.MIN_STALE_RETRY_DELAY_MS + random.nextInt(WatchTimeouts.MIN_STALE_RETRY_DELAY_MS));
         } else {
-            notifyFailed();
+            notifyCallFailed();
         }
         return true;
     }
 
-    /** The new service has sent its first list: its call is the watch from here on. */
-    private void migrated(DiscoveryCall call) {
+    /** The new service has sent its first list: its call becomes the watch. */
+    private void completeMigration(DiscoveryCall call) {
         DiscoveryCall old = watch;
         watch = call;
         call.expectHeartbeats();
         migration.completed();
         if (old != null) {
-            old.close("another service has taken over");
+            old.close("replaced by the watch at the new service");
         }
     }
 
     private long nowNs() {
-        return loop.ticker().nanoTime();
+        return eventLoop.ticker().nanoTime();
     }
 
-    /** What calls report; apart, so that it is no part of the public interface. */
+    /** Handles the events of calls; a class of its own to keep these methods out of the public interface. */
     private final class CallEvents implements DiscoveryCall.Owner {
         @Override
         public boolean isWatch(DiscoveryCall call) {
@@ -266,9 +274,9 @@
         }
 
         @Override
-        public void watchHeard() {
-            heard = true;
-            lastHeardNs = nowNs();
+        public void watchUpToDate() {
+            hasBeenUpToDate = true;
+            lastUpToDateNs = nowNs();
             listener.watchHeard();
         }
 
@@ -286,7 +294,7 @@
             } else if (call == watch) {
                 watchLost(call);
             } else {
-                notifyFailed();
+                notifyCallFailed();
             }
         }
 
@@ -294,31 +302,31 @@
         public void listReceived(DiscoveryCall call, Map<String, Object> list) {
             boolean fromSuccessor = migration.isSuccessor(call);
             if (call != watch && !fromSuccessor && !call.service().equals(service)) {
-                return; // from the service before the migration, whose versions are another's
+                return; // from the service before the migration, whose versions are unrelated
             }
             List<Endpoint> endpoints = parser.entries(list);
             long received = EndpointListParser.version(list);
             boolean full = Boolean.TRUE.equals(list.get("full"));
             if (fromSuccessor) {
-                version.accepted();
-            } else if (isStale(call, received, full)) {
+                version.resetStaleCalls();
+            } else if (rejectIfStale(call, received, full)) {
                 return;
             }
             if (fromSuccessor && call.listWasSkipped()) {
-                return; // what was skipped is the full list
+                return; // the skipped list was the full one
             }
             if (fromSuccessor) {
-                log.line("discovery has moved: " + (full ? "a whole list" : "changes") + " of " + endpoints.size()
-                        + " nodes");
-                migrated(call);
+                log.line("discovery has moved: " + (full ? "full list" : "changes") + " of " + endpoints.size()
+                        + " endpoints");
+                completeMigration(call);
             }
             log.line(
                     Log.Topic.DISCOVERY,
-                    "discovery call " + call.number() + " tells version " + received
-                            + (full ? ", the whole list, " : ", changes, ") + endpoints.size() + " nodes, after "
+                    "discovery call " + call.number() + " received version " + received
+                            + (full ? ", full list, " : ", changes, ") + endpoints.size() + " endpoints, after version "
                             + version.held());
             if (!call.listWasSkipped()) {
-                version.hold(received); // else the next watch asks for what was skipped
+                version.hold(received); // after a skipped list the next watch requests the changes again
             }
             call.acceptedList();
             listener.endpointsReceived(full ? EndpointListKind.FULL : EndpointListKind.DELTA, numbered(endpoints));
--- a/proxy/src/main/java/cacheproxy/discovery/Endpoint.java
+++ b/proxy/src/main/java/cacheproxy/discovery/Endpoint.java
@@ -6,8 +6,8 @@
 /**
  * One entry of an endpoint list.
  *
- * @param node what the router knows of the endpoint; {@code node.id} is set once the list is accepted
- * @param name the id by which discovery names it
- * @param address where it listens; null where it has left and discovery does not say
+ * @param node the properties of the endpoint that the router uses; {@code node.id} is set once the list is accepted
+ * @param name the id of the endpoint in discovery
+ * @param address the address that the endpoint listens on; null if it is gone and the entry has no address
  */
 public record Endpoint(EndpointInfo node, String name, SocketAddress address) {}
--- a/proxy/src/main/java/cacheproxy/discovery/EndpointListDecoder.java
+++ b/proxy/src/main/java/cacheproxy/discovery/EndpointListDecoder.java
@@ -6,33 +6,34 @@
 import java.util.Map;
 
 /**
- * Decodes the body of a call to discovery into endpoint lists, JSON objects that arrive in chunks of any length.
+ * Decodes the response body of a call to discovery into endpoint lists, which are JSON objects that arrive in chunks of
+ * any length.
  *
- * <p>The body is fed to the parser line by line. Where an object cannot be read, the rest of its line is skipped and
- * decoding goes on with the next line, because a drain may be announced there.
+ * <p>The body is fed to the parser line by line. If an object cannot be parsed, the rest of its line is skipped and
+ * decoding continues with the next line, because that may announce a drain.
  */
 final class EndpointListDecoder {
-    /** Takes the results, within {@link #decode}. */
+    /** Receives the results; called start within {@link #decode}. */
     interface Output {
         void listDecoded(Map<String, Object> list);
 
-        /** A list could not be read and was skipped; called before the next one is decoded. */
+        /** A list could not be decoded and was skipped; called before the next one is decoded. */
         void listSkipped(String reason);
     }
 
-    static final String TRUNCATED = "a list is skipped: it stops in the middle";
+    static final String TRUNCATED = "endpoint list skipped: truncated";
 
     private static final int MAX_LIST_BYTES = 1 << 20;
-    /** The beginning of a list that is on one line; no entry of a list begins like this. */
+    /** The start of a list that is written on one line; no entry within a list starts like this. */
     private static final byte[] LIST_START = "{\"version\"".getBytes(StandardCharsets.UTF_8);
 
     private final Output output;
-    private final JsonObjectStream objects = new JsonObjectStream();
-    /** Bytes of the list that has begun and not ended. */
+    private final JsonObjectStream jsonObjects = new JsonObjectStream();
+    /** The bytes received so far of a list that is incomplete. */
     private int listBytes;
 
-    private int listsEnded;
-    /** True until the end of a line in which an object could not be read. */
+    private int endedLists;
+    /** Whether the rest of the current line is skipped, because an object in it could not be parsed. */
     private boolean skippingLine;
 
     private boolean stopped;
@@ -44,72 +45,72 @@
     /**
      * Decodes a chunk; stops early once {@link #stop} is called or a list is too long.
      *
-     * @return false where a list has over 1 MiB; nothing is to be decoded after that
+     * @return false if a list is larger than 1 MiB; nothing may be decoded after that
      */
     boolean decode(byte[] bytes) {
-        for (int from = 0; from < bytes.length && !stopped; ) {
-            int lineEnd = from;
+        for (int start = 0; start < bytes.length && !stopped; ) {
+            int lineEnd = start;
             while (lineEnd < bytes.length && bytes[lineEnd] != '\n') {
                 lineEnd++;
             }
-            boolean complete = lineEnd < bytes.length;
-            int next = complete ? lineEnd + 1 : lineEnd;
+            boolean lineComplete = lineEnd < bytes.length;
+            int nextStart = lineComplete ? lineEnd + 1 : lineEnd;
             if (!skippingLine) {
-                decodeLine(bytes, from, next);
+                decodeLine(bytes, start, nextStart);
                 if (listBytes > MAX_LIST_BYTES) {
                     return false;
                 }
             }
-            skippingLine &= !complete;
-            from = next;
+            skippingLine &= !lineComplete;
+            start = nextStart;
         }
         return true;
     }
 
-    private void decodeLine(byte[] bytes, int from, int end) {
-        listBytes += end - from;
-        if (objects.inside() && startsList(bytes, from, end)) {
+    private void decodeLine(byte[] bytes, int start, int end) {
+        listBytes += end - start;
+        if (jsonObjects.isInsideObject() && startsList(bytes, start, end)) {
             output.listSkipped(TRUNCATED);
-            objects.anew(); // the next list begins on a line of its own
+            jsonObjects.reset(); // this line starts another list
             listEnded();
         }
         try {
-            objects.feed(bytes, from, end);
-            Map<String, Object> list = objects.next();
-            for (; list != null && !stopped; list = objects.next()) {
+            jsonObjects.feed(bytes, start, end);
+            Map<String, Object> list = jsonObjects.next();
+            for (; list != null && !stopped; list = jsonObjects.next()) {
                 listEnded();
                 output.listDecoded(list);
             }
         } catch (InvalidInputException e) {
-            output.listSkipped("a list is skipped: " + e.getMessage());
+            output.listSkipped("endpoint list skipped: " + e.getMessage());
             skippingLine = true;
             listEnded();
         }
-        listBytes = objects.inside() ? listBytes : 0;
+        listBytes = jsonObjects.isInsideObject() ? listBytes : 0;
     }
 
-    private static boolean startsList(byte[] bytes, int from, int end) {
-        return end - from > LIST_START.length
-                && Arrays.equals(bytes, from, from + LIST_START.length, LIST_START, 0, LIST_START.length);
+    private static boolean startsList(byte[] bytes, int start, int end) {
+        return end - start > LIST_START.length
+                && Arrays.equals(bytes, start, start + LIST_START.length, LIST_START, 0, LIST_START.length);
     }
 
     private void listEnded() {
         listBytes = 0;
-        listsEnded++;
+        endedLists++;
     }
 
-    /** Decodes nothing more, also of the chunk in hand. */
+    /** Stops decoding, also of the chunk that is being decoded. */
     void stop() {
         stopped = true;
     }
 
-    /** Whether a list has begun and not ended. */
-    boolean insideList() {
-        return objects.inside();
+    /** Whether a list has been received in part. */
+    boolean isInsideList() {
+        return jsonObjects.isInsideObject();
     }
 
-    /** How many lists have ended, whether read or skipped. */
-    int listsEnded() {
-        return listsEnded;
+    /** The number of lists that have ended, whether decoded or skipped. */
+    int endedLists() {
+        return endedLists;
     }
 }
--- a/proxy/src/main/java/cacheproxy/discovery/EndpointListListener.java
+++ b/proxy/src/main/java/cacheproxy/discovery/EndpointListListener.java
@@ -3,7 +3,7 @@
 import cacheproxy.routing.EndpointListKind;
 import java.util.List;
 
-/** What a {@link DiscoveryClient} notifies of. Called on the event loop. */
+/** Receives the events of a {@link DiscoveryClient}. Called on the event loop. */
 public interface EndpointListListener {
     /**
      * An endpoint list was accepted, or a call to discovery has failed.
@@ -13,9 +13,9 @@
      */
     void endpointsReceived(EndpointListKind kind, List<Endpoint> endpoints);
 
-    /** The watch has sent something: every change that discovery had until now has been received. */
+    /** The watch has sent data: every change that discovery had until now has been received. */
     void watchHeard();
 
-    /** Several connections in a row have not come up: nobody is notified of changes for now. */
+    /** Several consecutive connections to discovery have failed: changes cannot be received for now. */
     void discoveryUnreachable();
 }
--- a/proxy/src/main/java/cacheproxy/discovery/EndpointListParser.java
+++ b/proxy/src/main/java/cacheproxy/discovery/EndpointListParser.java
@@ -12,79 +12,81 @@
 import java.util.function.LongUnaryOperator;
 
 /**
- * Reads a parsed list of cache nodes. Source: the page "Protocol", "Discovery". What cannot be true is refused with the
- * field's name: a list that is wrong in one entry is not taken at all.
+ * Converts an endpoint list from parsed JSON, in the format that the protocol documentation specifies under
+ * "Discovery". A malformed field is reported by name, and the whole list is rejected even if only one entry is
+ * malformed.
  */
 final class EndpointListParser {
-    /** One node's that is told wrong must not make all others' parts vanish. */
-    private static final double MOST_WEIGHT = 1000;
-    /** Beyond this no figure of a list can be meant: whole numbers are not exact any more. */
-    private static final double MOST_FIGURE = 1e15;
+    /** Limits the weight of an endpoint: one that is wrongly high would leave the other endpoints without traffic. */
+    private static final double MAX_WEIGHT = 1000;
+    /** Numbers from here on are rejected: no field needs them, and larger integers are not exact as a double. */
+    private static final double NUMBER_LIMIT = 1e15;
 
     private final ProxyConfiguration config;
-    private final LongUnaryOperator clockTime;
+    private final LongUnaryOperator unixMsToClockUs;
 
-    /** {@code clockTime}: maps Unix milliseconds to the event loop's clock, in microseconds. */
-    EndpointListParser(ProxyConfiguration config, LongUnaryOperator clockTime) {
+    /** {@code unixMsToClockUs}: converts Unix milliseconds to microseconds on the event loop's clock. */
+    EndpointListParser(ProxyConfiguration config, LongUnaryOperator unixMsToClockUs) {
         this.config = config;
-        this.clockTime = clockTime;
+        this.unixMsToClockUs = unixMsToClockUs;
     }
 
-    /** The version of a parsed list; {@link InvalidInputException} if it has none. */
+    /** The version of a parsed list; throws {@link InvalidInputException} if it has none. */
     static long version(Map<String, Object> list) {
-        if (list.get("version") instanceof Number n) {
-            return n.longValue();
+        if (list.get("version") instanceof Number number) {
+            return number.longValue();
         }
         throw new InvalidInputException("version is missing from the list");
     }
 
-    /** The entries of a parsed list, not numbered yet; {@link InvalidInputException} names what is wrong with one. */
+    /** The entries of a parsed list, without numbers; throws {@link InvalidInputException} for a malformed entry. */
     List<Endpoint> entries(Map<String, Object> list) {
         if (!(list.get("servers") instanceof List<?> servers)) {
             throw new InvalidInputException("servers is missing from the list");
         }
         List<Endpoint> entries = new ArrayList<>(servers.size());
-        for (Object o : servers) {
-            if (!(o instanceof Map<?, ?>)) {
-                throw new InvalidInputException("a list entry is no object");
+        for (Object server : servers) {
+            if (!(server instanceof Map<?, ?>)) {
+                throw new InvalidInputException("a list entry is not a JSON object");
             }
-            @SuppressWarnings("unchecked") // the parser makes no other maps than these
-            Map<String, Object> m = (Map<String, Object>) o;
-            entries.add(entry(m));
+            @SuppressWarnings("unchecked") // the parser creates only maps of this type
+            Map<String, Object> fields = (Map<String, Object>) server;
+            entries.add(entry(fields));
         }
         return entries;
     }
 
-    private Endpoint entry(Map<String, Object> m) {
-        String where = "a list entry";
-        String id = FieldReader.requireString(m, "id", where);
-        EndpointInfo n = new EndpointInfo();
-        n.state = switch (FieldReader.requireString(m, "state", where)) {
+    private Endpoint entry(Map<String, Object> fields) {
+        String entryDescription = "a list entry";
+        String id = FieldReader.requireString(fields, "id", entryDescription);
+        EndpointInfo info = new EndpointInfo();
+        info.state = switch (FieldReader.requireString(fields, "state", entryDescription)) {
             case "SERVING" -> EndpointState.READY;
             case "DRAINING" -> EndpointState.DRAINING;
             case "DELETED" -> EndpointState.GONE;
             default -> throw new InvalidInputException("a list entry has an unknown state");
         };
-        n.zone = config.zones.indexOf(m.get("zone"));
-        n.kind = config.kinds.indexOf(m.get("kind"));
-        n.cell = (int) figure(m, "cell", 0);
-        n.weight = Math.min(MOST_WEIGHT, figure(m, "weight", 1));
-        double started = figure(m, "started_ms", 0);
-        n.startedUs = started > 0 ? clockTime.applyAsLong((long) started) : Long.MIN_VALUE;
-        InetSocketAddress address = n.state == EndpointState.GONE && !(m.get("addr") instanceof String)
+        info.zone = config.zones.indexOf(fields.get("zone"));
+        info.kind = config.kinds.indexOf(fields.get("kind"));
+        info.cell = (int) numberOrDefault(fields, "cell", 0);
+        info.weight = Math.min(MAX_WEIGHT, numberOrDefault(fields, "weight", 1));
+        double startedUnixMs = numberOrDefault(fields, "started_ms", 0);
+        info.startedUs = startedUnixMs > 0 ? unixMsToClockUs.applyAsLong((long) startedUnixMs) : Long.MIN_VALUE;
+        InetSocketAddress address = info.state == EndpointState.GONE && !(fields.get("addr") instanceof String)
                 ? null
-                : FieldReader.address(FieldReader.requireString(m, "addr", where), "addr in a list entry");
-        return new Endpoint(n, id, address);
+                : FieldReader.address(
+                        FieldReader.requireString(fields, "addr", entryDescription), "addr in a list entry");
+        return new Endpoint(info, id, address);
     }
 
-    private static double figure(Map<String, Object> m, String key, double fallback) {
-        Object o = m.get(key);
-        if (o == null) {
-            return fallback;
+    private static double numberOrDefault(Map<String, Object> fields, String key, double defaultValue) {
+        Object value = fields.get(key);
+        if (value == null) {
+            return defaultValue;
         }
-        if (o instanceof Number n && n.doubleValue() >= 0 && n.doubleValue() < MOST_FIGURE) {
-            return n.doubleValue();
+        if (value instanceof Number number && number.doubleValue() >= 0 && number.doubleValue() < NUMBER_LIMIT) {
+            return number.doubleValue();
         }
-        throw new InvalidInputException(key + " in a list entry is no number");
+        throw new InvalidInputException(key + " in a list entry is not a number of at least 0 and less than 1e15");
     }
 }
--- a/proxy/src/main/java/cacheproxy/discovery/EndpointNumbers.java
+++ b/proxy/src/main/java/cacheproxy/discovery/EndpointNumbers.java
@@ -3,38 +3,41 @@
 import java.util.HashMap;
 import java.util.Map;
 
-/** The router's numbers of endpoints, by their ids; as many as there are endpoints that were not forgotten. */
+/** Assigns the numbers by which the router identifies endpoints; each is kept until it is released. */
 final class EndpointNumbers {
     private static final long FNV_BASIS = 0xcbf29ce484222325L;
     private static final long FNV_PRIME = 0x100000001b3L;
 
-    private final Map<String, Integer> numbers = new HashMap<>();
-    private final Map<Integer, String> names = new HashMap<>();
+    private final Map<String, Integer> numbersById = new HashMap<>();
+    private final Map<Integer, String> idsByNumber = new HashMap<>();
 
-    /** The router's number of an endpoint: computed from its id alone, so that all proxies rank endpoints alike. */
-    int of(String id) {
-        Integer known = numbers.get(id);
-        if (known != null) {
-            return known;
+    /**
+     * Returns the number of an endpoint, assigning one on first use. It is a hash of the id, so that all proxies rank
+     * endpoints alike; on a collision it is the next free number.
+     */
+    int numberOf(String id) {
+        Integer assigned = numbersById.get(id);
+        if (assigned != null) {
+            return assigned;
         }
-        long h = FNV_BASIS;
+        long hash = FNV_BASIS;
         for (int i = 0; i < id.length(); i++) {
-            h = (h ^ id.charAt(i)) * FNV_PRIME;
+            hash = (hash ^ id.charAt(i)) * FNV_PRIME;
         }
-        int number = (int) (h ^ h >>> 32);
-        while (names.containsKey(number)) {
+        int number = (int) (hash ^ hash >>> 32);
+        while (idsByNumber.containsKey(number)) {
             number++;
         }
-        numbers.put(id, number);
-        names.put(number, id);
+        numbersById.put(id, number);
+        idsByNumber.put(number, id);
         return number;
     }
 
     int size() {
-        return numbers.size();
+        return numbersById.size();
     }
 
-    void forget(int number) {
-        numbers.remove(names.remove(number));
+    void release(int number) {
+        numbersById.remove(idsByNumber.remove(number));
     }
 }
--- a/proxy/src/main/java/cacheproxy/discovery/JsonObjectStream.java
+++ b/proxy/src/main/java/cacheproxy/discovery/JsonObjectStream.java
@@ -15,114 +15,114 @@
 import java.util.Map;
 
 /**
- * JSON objects one after the other, as they come: on a line each or indented over many, parted anywhere. The parser
- * tells where one ends. Danger: a list that was taken for ended at a line feed could not be read where it came
- * indented, and no change of it was ever heard.
+ * Parses a stream of JSON objects that arrive in chunks of any length. The end of an object is found by the parser, not
+ * by a line feed: when lists were split at line feeds, an indented list could not be parsed, and its changes were lost.
  */
 final class JsonObjectStream {
     private static final JsonFactory FACTORY = new JsonFactory();
 
     private JsonParser parser;
     private ByteArrayFeeder feeder;
-    /** What has begun and not ended, the innermost last. */
-    private final ArrayDeque<Object> open = new ArrayDeque<>();
+    /** The objects and arrays that are incomplete, the innermost last. */
+    private final ArrayDeque<Object> openContainers = new ArrayDeque<>();
 
     JsonObjectStream() {
-        begin();
+        createParser();
     }
 
-    private void begin() {
-        open.clear();
+    private void createParser() {
+        openContainers.clear();
         try {
             parser = FACTORY.createNonBlockingByteArrayParser();
         } catch (IOException e) {
-            throw new IllegalStateException(e); // it reads nothing yet
+            throw new IllegalStateException(e); // creating a parser reads no input
         }
         feeder = (ByteArrayFeeder) parser.getNonBlockingInputFeeder();
     }
 
-    /** More bytes, once all objects of those before were taken by {@link #next}. */
-    void feed(byte[] bytes, int from, int end) {
+    /** Adds input; to be called only once {@link #next} has returned null for the input before. */
+    void feed(byte[] bytes, int start, int end) {
         try {
-            feeder.feedInput(bytes, from, end);
+            feeder.feedInput(bytes, start, end);
         } catch (IOException e) {
-            throw new IllegalStateException(e); // only where the ones before were not taken
+            throw new IllegalStateException(e); // only if the previous input was not consumed
         }
     }
 
-    /** What has begun is given up: what is fed next is a beginning. */
-    void anew() {
-        begin();
+    /** Discards an incomplete object; the next input starts a new one. */
+    void reset() {
+        createParser();
     }
 
-    /** Whether an object has begun and not ended. */
-    boolean inside() {
-        return !open.isEmpty();
+    /** Whether an object has been received in part. */
+    boolean isInsideObject() {
+        return !openContainers.isEmpty();
     }
 
-    /** The next whole object, null where none has come; after what is none it begins anew with what is fed next. */
+    /** The next complete object, or null if more input is needed; after an error the next input starts a new object. */
     Map<String, Object> next() {
         try {
-            for (JsonToken t = parser.nextToken(); t != JsonToken.NOT_AVAILABLE; t = parser.nextToken()) {
-                Map<String, Object> whole = token(t);
-                if (whole != null) {
-                    return whole;
+            for (JsonToken token = parser.nextToken(); token != JsonToken.NOT_AVAILABLE; token = parser.nextToken()) {
+                Map<String, Object> object = handleToken(token);
+                if (object != null) {
+                    return object;
                 }
             }
             return null;
         } catch (JsonProcessingException e) {
-            begin();
+            createParser();
             throw new InvalidInputException("not JSON: " + PrintableText.of(e.getOriginalMessage()));
         } catch (IOException e) {
-            begin();
+            createParser();
             throw new InvalidInputException("not JSON: " + e);
         }
     }
 
-    private Map<String, Object> token(JsonToken t) throws IOException {
-        switch (t) {
-            case START_OBJECT -> opened(new LinkedHashMap<String, Object>());
-            case START_ARRAY -> opened(new ArrayList<Object>());
+    private Map<String, Object> handleToken(JsonToken token) throws IOException {
+        switch (token) {
+            case START_OBJECT -> openContainer(new LinkedHashMap<String, Object>());
+            case START_ARRAY -> openContainer(new ArrayList<Object>());
             case END_OBJECT, END_ARRAY -> {
-                Object ended = open.removeLast();
-                if (open.isEmpty()) {
-                    return whole(ended);
+                Object container = openContainers.removeLast();
+                if (openContainers.isEmpty()) {
+                    return requireObject(container);
                 }
             }
-            case FIELD_NAME -> {} // the parser keeps it until its value comes
+            case FIELD_NAME -> {} // read by parser.currentName() when the value arrives
             case VALUE_STRING -> add(parser.getText());
             case VALUE_NUMBER_INT, VALUE_NUMBER_FLOAT -> add(parser.getNumberValue());
-            case VALUE_TRUE, VALUE_FALSE -> add(t == JsonToken.VALUE_TRUE);
+            case VALUE_TRUE, VALUE_FALSE -> add(token == JsonToken.VALUE_TRUE);
             default -> add(null);
         }
         return null;
     }
 
-    private void opened(Object container) throws IOException {
-        if (!open.isEmpty()) {
+    private void openContainer(Object container) throws IOException {
+        if (!openContainers.isEmpty()) {
             add(container);
         }
-        open.addLast(container);
+        openContainers.addLast(container);
     }
 
-    @SuppressWarnings("unchecked") // only the two kinds made above are open
+    @SuppressWarnings("unchecked") // the containers are only of the two types created in handleToken
     private void add(Object value) throws IOException {
-        Object in = open.peekLast();
-        if (in instanceof List<?> list) {
+        Object innermost = openContainers.peekLast();
+        if (innermost instanceof List<?> list) {
             ((List<Object>) list).add(value);
-        } else if (in instanceof Map<?, ?> map) {
+        } else if (innermost instanceof Map<?, ?> map) {
             ((Map<String, Object>) map).put(parser.currentName(), value);
         } else {
-            begin();
-            throw new InvalidInputException("not JSON: " + PrintableText.of(String.valueOf(value)) + " is no object");
+            createParser();
+            throw new InvalidInputException(
+                    "not JSON: " + PrintableText.of(String.valueOf(value)) + " is not an object");
         }
     }
 
-    @SuppressWarnings("unchecked") // the only kind of map made above
-    private static Map<String, Object> whole(Object ended) {
-        if (ended instanceof Map<?, ?> map) {
+    @SuppressWarnings("unchecked") // the only type of map created in handleToken
+    private static Map<String, Object> requireObject(Object container) {
+        if (container instanceof Map<?, ?> map) {
             return (Map<String, Object>) map;
         }
-        throw new InvalidInputException("not JSON: an array in place of an object");
+        throw new InvalidInputException("expected a JSON object, not an array");
     }
 }
--- a/proxy/src/main/java/cacheproxy/discovery/ListVersion.java
+++ b/proxy/src/main/java/cacheproxy/discovery/ListVersion.java
@@ -3,29 +3,31 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * The version of the endpoint list held, and whether another list may replace it.
+ * The version of the endpoint list held; decides whether another list may replace it.
  *
- * <p>An older list is rejected: it would bring back endpoints that are draining or have left. A service that has lost
- * its count would then never be heard again; so when several calls in a row bring older lists, for longer than a
- * replica may lag, the service counts as restarted, and its versions are followed from there on.
+ * <p>An older list is rejected, because it would bring back endpoints that are draining or gone. A service that lost
+ * its version count in a restart would then never be accepted again. So if several consecutive calls return older
+ * lists, for longer than a replica of the service may lag, the service counts as restarted and its versions are
+ * accepted.
  */
 final class ListVersion {
-    /** What to do with a list. */
+    /** The result of checking a list. */
     enum Check {
         ACCEPT,
         /** Older than the list held. */
         STALE,
-        /** Older, of a service that has restarted. */
+        /** Older than the list held, but from a service that has restarted. */
         RESTARTED
     }
 
-    /** Fewer calls in a row may have reached a replica that lags. */
-    private static final int RESTARTED_AFTER_CALLS = 3;
+    /** Fewer consecutive calls with stale lists may all have reached a replica that lags. */
+    private static final int MIN_STALE_CALLS_BEFORE_RESTARTED = 3;
 
-    private static final long RESTARTED_AFTER_NS = TimeUnit.MILLISECONDS.toNanos(WatchTimeouts.STALE_AT_LEAST_MS);
+    private static final long MIN_STALE_TIME_BEFORE_RESTARTED_NS =
+            TimeUnit.MILLISECONDS.toNanos(WatchTimeouts.MIN_STALE_TIME_MS);
 
     private long held;
-    private int staleCallsInRow;
+    private int consecutiveStaleCalls;
     private long staleSinceNs;
 
     ListVersion(long initial) {
@@ -43,17 +45,18 @@
     /** Checks the version of a list that was received at {@code nowNs}, a monotonic time in nanoseconds. */
     Check check(long received, long nowNs) {
         if (received >= held) {
-            accepted();
+            resetStaleCalls();
             return Check.ACCEPT;
         }
-        staleSinceNs = staleCallsInRow == 0 ? nowNs : staleSinceNs;
-        staleCallsInRow++;
-        boolean restarted = staleCallsInRow >= RESTARTED_AFTER_CALLS && nowNs - staleSinceNs > RESTARTED_AFTER_NS;
+        staleSinceNs = consecutiveStaleCalls == 0 ? nowNs : staleSinceNs;
+        consecutiveStaleCalls++;
+        boolean restarted = consecutiveStaleCalls >= MIN_STALE_CALLS_BEFORE_RESTARTED
+                && nowNs - staleSinceNs > MIN_STALE_TIME_BEFORE_RESTARTED_NS;
         return restarted ? Check.RESTARTED : Check.STALE;
     }
 
-    /** A list was accepted whatever its version: the next stale one is a first. */
-    void accepted() {
-        staleCallsInRow = 0;
+    /** Forgets the stale lists so far, because a list was accepted. */
+    void resetStaleCalls() {
+        consecutiveStaleCalls = 0;
     }
 }
--- a/proxy/src/main/java/cacheproxy/discovery/ReadSilenceHandler.java
+++ b/proxy/src/main/java/cacheproxy/discovery/ReadSilenceHandler.java
@@ -7,12 +7,12 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Ends a connection that receives nothing for a time, but not before the loop has read once more: after a stall timers
- * may run first, and bytes may have waited in the kernel for long.
+ * Closes a connection on which nothing is received within a timeout, but only after the event loop has read once more:
+ * after a stall of the loop, timers may run before data is read that arrived in time.
  */
 final class ReadSilenceHandler extends ReadTimeoutHandler {
     private final EventLoopClock clock;
-    private long reads;
+    private long messagesRead;
 
     ReadSilenceHandler(EventLoopClock clock, int timeoutMs) {
         super(timeoutMs, TimeUnit.MILLISECONDS);
@@ -21,15 +21,15 @@
 
     @Override
     public void channelRead(ChannelHandlerContext ctx, Object message) throws Exception {
-        reads++;
+        messagesRead++;
         super.channelRead(ctx, message);
     }
 
     @Override
     protected void readTimedOut(ChannelHandlerContext ctx) {
-        long readsBefore = reads;
+        long messagesReadBefore = messagesRead;
         clock.scheduleAfterRead(() -> {
-            if (reads == readsBefore && ctx.channel().isActive()) {
+            if (messagesRead == messagesReadBefore && ctx.channel().isActive()) {
                 ctx.fireExceptionCaught(ReadTimeoutException.INSTANCE);
                 ctx.close();
             }
--- a/proxy/src/main/java/cacheproxy/discovery/ServiceMigration.java
+++ b/proxy/src/main/java/cacheproxy/discovery/ServiceMigration.java
@@ -6,70 +6,76 @@
 import java.util.function.Supplier;
 
 /**
- * The migration to another discovery service: calls it, with a backoff after each failure, until it has sent its first
- * list. Used on the event loop only.
+ * A migration to another discovery service: calls the new service, with a backoff after each failure, until it has sent
+ * its first list. Used on the event loop only.
  */
 final class ServiceMigration {
-    private final EventLoop loop;
-    private final boolean pushed;
+    private final EventLoop eventLoop;
+    private final boolean agentPushesLists;
     private final BackoffPolicy backoff;
     private final Supplier<DiscoveryCall> startCall;
-    /** The call to the new service; null where there is none. */
+    /** The call to the new service; null if there is none. */
     private DiscoveryCall successor;
-    /** The timer of the next call; null where there is none. */
-    private Future<?> retry;
+    /** The timer of the next call; null if there is none. */
+    private Future<?> retryTimer;
 
-    private long startedNs;
+    private long startTimeNs;
 
     /**
-     * @param pushed whether an agent pushes lists: then there is no time by which a call must succeed
-     * @param startCall begins a watch for all endpoints at the new service
+     * @param agentPushesLists whether an agent pushes endpoint lists; then a call has no deadline by which it
+     *     must succeed
+     * @param startCall starts a watch for all endpoints at the new service
      */
-    ServiceMigration(EventLoop loop, boolean pushed, BackoffPolicy backoff, Supplier<DiscoveryCall> startCall) {
-        this.loop = loop;
-        this.pushed = pushed;
+    ServiceMigration(
+            EventLoop eventLoop,
+            boolean agentPushesLists,
+            BackoffPolicy backoff,
+            Supplier<DiscoveryCall> startCall) {
+        this.eventLoop = eventLoop;
+        this.agentPushesLists = agentPushesLists;
         this.backoff = backoff;
         this.startCall = startCall;
     }
 
-    /** Begins a migration, in place of one that is under way. */
+    /** Starts a migration and cancels the one in progress, if any. */
     void begin() {
         if (successor != null) {
-            successor.close("discovery moves again");
+            successor.close("discovery moves again to another service");
             successor = null;
         }
-        if (retry != null) {
-            retry.cancel(false);
-            retry = null;
+        if (retryTimer != null) {
+            retryTimer.cancel(false);
+            retryTimer = null;
         }
-        backoff.succeeded();
-        startedNs = loop.ticker().nanoTime();
-        call();
+        backoff.reset();
+        startTimeNs = eventLoop.ticker().nanoTime();
+        callService();
     }
 
-    private void call() {
-        retry = null;
+    private void callService() {
+        retryTimer = null;
         successor = startCall.get();
     }
 
-    boolean active() {
-        return successor != null || retry != null;
+    boolean isActive() {
+        return successor != null || retryTimer != null;
     }
 
     boolean isSuccessor(DiscoveryCall call) {
         return call == successor;
     }
 
-    /** The call to the new service has failed: it is made again after a backoff. */
+    /** Handles a failure of the call to the new service: retries it after a backoff. */
     void callFailed() {
         long elapsedMs = successor.elapsedMs();
         successor = null;
-        long migratingMs = TimeUnit.NANOSECONDS.toMillis(loop.ticker().nanoTime() - startedNs);
-        long leftMs = pushed ? 0 : WatchTimeouts.MIGRATION_NOTIFIED_MS - migratingMs;
-        retry = loop.schedule(this::call, backoff.nextMs(elapsedMs, leftMs), TimeUnit.MILLISECONDS);
+        long migrationMs = TimeUnit.NANOSECONDS.toMillis(eventLoop.ticker().nanoTime() - startTimeNs);
+        long timeLeftMs = agentPushesLists ? 0 : WatchTimeouts.MIGRATION_NOTIFIED_MS - migrationMs;
+        retryTimer = eventLoop.schedule(
+                this::callService, backoff.nextDelayMs(elapsedMs, timeLeftMs), TimeUnit.MILLISECONDS);
     }
 
-    /** The new service has sent its first list. */
+    /** Ends the migration, because the new service has sent its first list. */
     void completed() {
         successor = null;
     }
--- a/proxy/src/main/java/cacheproxy/eventloop/EventLoopListeners.java
+++ b/proxy/src/main/java/cacheproxy/eventloop/EventLoopListeners.java
@@ -5,20 +5,20 @@
 import io.netty.channel.EventLoop;
 import java.util.function.Consumer;
 
-/** Listeners of channel futures that run on the event loop. */
+/** Creates listeners of channel futures that run on the event loop. */
 public final class EventLoopListeners {
     private EventLoopListeners() {}
 
     /**
-     * A listener that always runs on {@code loop}. Without a free file descriptor Netty has no channel, and notifies of
-     * the failure on a thread of its own.
+     * Returns a listener that always runs on {@code eventLoop}. Without a free file descriptor, Netty cannot create a
+     * channel and notifies of the failure on another thread.
      */
-    public static ChannelFutureListener onLoop(EventLoop loop, Consumer<ChannelFuture> listener) {
+    public static ChannelFutureListener onLoop(EventLoop eventLoop, Consumer<ChannelFuture> listener) {
         return future -> {
-            if (loop.inEventLoop()) {
+            if (eventLoop.inEventLoop()) {
                 listener.accept(future);
             } else {
-                loop.execute(() -> listener.accept(future));
+                eventLoop.execute(() -> listener.accept(future));
             }
         };
     }
--- a/proxy/src/main/java/cacheproxy/eventloop/FaultGuard.java
+++ b/proxy/src/main/java/cacheproxy/eventloop/FaultGuard.java
@@ -3,12 +3,12 @@
 import cacheproxy.logging.Log;
 
 /**
- * Runs tasks of the event loop and logs what they throw. A task that throws must not cost what follows it: a timer that
- * is not set again, or an event that never ends, would stop the proxy.
+ * Runs tasks of the event loop and logs what they throw. An exception must not prevent the work that follows the task:
+ * a timer that is not scheduled again, or an event that is never completed, would stop the proxy.
  */
 public final class FaultGuard {
-    /** Needs no memory to build. */
-    private static final String UNDESCRIBED = "fault: it cannot be described";
+    /** A constant, because building a message can fail for lack of memory. */
+    private static final String UNDESCRIBED_FAULT = "fault: it cannot be described";
 
     private final Log log;
 
@@ -16,25 +16,25 @@
         this.log = log;
     }
 
-    /** Runs a task; throws nothing, also no {@link Error}. */
+    /** Runs a task; never throws, not even an {@link Error}. */
     public void run(Runnable task) {
         try {
             task.run();
         } catch (Throwable fault) {
             try {
-                StackTraceElement[] trace = fault.getStackTrace();
-                log.line("fault: " + fault + (trace.length > 0 ? " at " + trace[0] : ""));
-            } catch (Throwable outOfMemory) {
-                logUndescribed();
+                StackTraceElement[] stackTrace = fault.getStackTrace();
+                log.line("fault: " + fault + (stackTrace.length > 0 ? " at " + stackTrace[0] : ""));
+            } catch (Throwable descriptionFailure) {
+                logUndescribedFault();
             }
         }
     }
 
-    private void logUndescribed() {
+    private void logUndescribedFault() {
         try {
-            log.line(UNDESCRIBED);
-        } catch (Throwable again) {
-            // The log cannot be written, and the tasks that follow must run all the same.
+            log.line(UNDESCRIBED_FAULT);
+        } catch (Throwable loggingFailure) {
+            // Logging failed as well; the tasks that follow must run nevertheless.
         }
     }
 }
--- a/proxy/src/main/java/cacheproxy/eventloop/SocketReadiness.java
+++ b/proxy/src/main/java/cacheproxy/eventloop/SocketReadiness.java
@@ -3,14 +3,14 @@
 import io.netty.channel.Channel;
 import io.netty.channel.nio.AbstractNioChannel;
 
-/** Reads a socket before the selector reports it. */
+/** Reads sockets before the selector reports them as readable. */
 public final class SocketReadiness {
     private SocketReadiness() {}
 
     /**
-     * Reads at once what the kernel holds for this channel and fires the events for it. Called on the event loop, where
-     * a decision depends on whether the peer has sent something or closed: within one round the order of events is the
-     * selector's.
+     * Reads the data that the kernel holds for this channel and fires its events immediately. Called on the event loop
+     * before a decision that depends on whether the peer has sent data or closed the connection, because the selector
+     * decides the order of events within one iteration of the loop.
      */
     public static void readNow(Channel channel) {
         if (channel.unsafe() instanceof AbstractNioChannel.NioUnsafe socket) {
--- a/proxy/src/main/java/cacheproxy/eventloop/package-info.java
+++ b/proxy/src/main/java/cacheproxy/eventloop/package-info.java
@@ -1,5 +1,5 @@
 /**
- * The event loop's clock and timers, which know how late they run, and the guard against faults of tasks. Knows nothing
- * of requests.
+ * The event loop's clock and timers, with a measurement of how late they run, and the handling of exceptions of tasks.
+ * Independent of requests.
  */
 package cacheproxy.eventloop;
--- a/proxy/src/main/java/cacheproxy/logging/AsyncLogWriter.java
+++ b/proxy/src/main/java/cacheproxy/logging/AsyncLogWriter.java
@@ -7,9 +7,9 @@
 import java.util.function.Consumer;
 
 /**
- * Writes log lines on a thread of its own, through a bounded queue. Standard error may be a full pipe that nobody
- * reads: a write from the event loop would then block the whole proxy, and its handling of SIGTERM. Lines that find the
- * queue full are counted and dropped.
+ * Writes log lines on a separate thread, through a bounded queue. Standard error may be a full pipe that nobody reads:
+ * a write on the event loop would then block the whole proxy, and its handling of SIGTERM. If the queue is full, lines
+ * are dropped and counted.
  *
  * <p>Any thread may call {@link #accept}, which does not block.
  */
@@ -18,29 +18,29 @@
 
     private final PrintStream out;
     private final BlockingQueue<String> queue = new ArrayBlockingQueue<>(QUEUE_CAPACITY_LINES);
-    private int dropped;
-    /** Lines in the queue, and the one being written. */
-    private int unwritten;
+    private int droppedLines;
+    /** The lines in the queue and the one that is being written. */
+    private int unwrittenLines;
 
-    /** Starts the writing thread, a daemon. The caller keeps {@code out} open. */
+    /** Starts the writer, a daemon thread. The caller keeps {@code out} open. */
     public AsyncLogWriter(PrintStream out) {
         this.out = out;
         Thread thread = new Thread(this::writeLines, "log");
-        thread.setDaemon(true); // a pipe that stays full must not delay the end of the process
+        thread.setDaemon(true); // a pipe that stays full must not delay the exit of the process
         thread.start();
     }
 
     @Override
     public synchronized void accept(String line) {
-        if (dropped > 0 && queue.remainingCapacity() > 1) {
-            queue.add("cacheproxy: " + dropped + " lines left out: they were not taken in time");
-            unwritten++;
-            dropped = 0;
+        if (droppedLines > 0 && queue.remainingCapacity() > 1) {
+            queue.add("cacheproxy: " + droppedLines + " log lines dropped: the output was not read in time");
+            unwrittenLines++;
+            droppedLines = 0;
         }
         if (queue.offer(line)) {
-            unwritten++;
+            unwrittenLines++;
         } else {
-            dropped++;
+            droppedLines++;
         }
     }
 
@@ -49,7 +49,7 @@
             while (true) {
                 out.println(queue.take());
                 synchronized (this) {
-                    unwritten--;
+                    unwrittenLines--;
                     notifyAll();
                 }
             }
@@ -60,10 +60,10 @@
 
     /** Blocks until all lines are written, for at most {@code timeoutMs}; not to be called on the event loop. */
     public synchronized void flush(long timeoutMs) throws InterruptedException {
-        long end = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(timeoutMs);
-        for (long left = timeoutMs; unwritten > 0 && left > 0; ) {
-            wait(left);
-            left = TimeUnit.NANOSECONDS.toMillis(end - System.nanoTime());
+        long deadlineNs = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(timeoutMs);
+        for (long remainingMs = timeoutMs; unwrittenLines > 0 && remainingMs > 0; ) {
+            wait(remainingMs);
+            remainingMs = TimeUnit.NANOSECONDS.toMillis(deadlineNs - System.nanoTime());
         }
     }
 }
--- a/proxy/src/main/java/cacheproxy/logging/NettyLoggerFactory.java
+++ b/proxy/src/main/java/cacheproxy/logging/NettyLoggerFactory.java
@@ -6,13 +6,14 @@
 import io.netty.util.internal.logging.InternalLoggerFactory;
 
 /**
- * Sends Netty's warnings and errors to the proxy's log. The JDK's logging opens files at its first line: without a free
- * file descriptor, which is when Netty first warns, that failed with an Error and ended the event loop.
+ * Sends Netty's warnings and errors to the proxy's log. The JDK's logging opens files at its first line. If no file
+ * descriptor is free, which is when Netty logs its first warning, that failed with an {@link Error} and ended the event
+ * loop.
  */
 public final class NettyLoggerFactory extends InternalLoggerFactory {
     private final Log log;
 
-    /** To be set as the default factory before any other class of Netty is loaded. */
+    /** Creates a factory, which must be set as the default before any other class of Netty is loaded. */
     public NettyLoggerFactory(Log log) {
         this.log = log;
     }
@@ -34,8 +35,8 @@
 
         private void write(String message, Object... arguments) {
             StringBuilder line = new StringBuilder("netty: ").append(PrintableText.of(message));
-            for (Object a : arguments) {
-                line.append("; ").append(PrintableText.of(String.valueOf(a)));
+            for (Object argument : arguments) {
+                line.append("; ").append(PrintableText.of(String.valueOf(argument)));
             }
             log.line(line.toString());
         }
--- a/proxy/src/main/java/cacheproxy/logging/package-info.java
+++ b/proxy/src/main/java/cacheproxy/logging/package-info.java
@@ -1,2 +1,2 @@
-/** Log lines: bounded in number, written by a thread of their own, with topics that can be switched on. */
+/** The operators' log: rate limits per topic, optional lines on single requests, and writing on a separate thread. */
 package cacheproxy.logging;
--- a/proxy/src/test/java/cacheproxy/discovery/BackoffPolicyTest.java
+++ b/proxy/src/test/java/cacheproxy/discovery/BackoffPolicyTest.java
@@ -8,71 +8,71 @@
 import java.util.stream.IntStream;
 import org.junit.jupiter.api.Test;
 
-/** The waits between failed calls: doubled, bounded, spread, and shorter by what the call has taken itself. */
+/** Delays between retries: doubled, bounded, randomized, and reduced by the duration of the failed call. */
 class BackoffPolicyTest {
-    private static final int FIRST_MS = 100;
-    private static final int MOST_MS = 1000;
+    private static final int INITIAL_DELAY_MS = 100;
+    private static final int MAX_DELAY_MS = 1000;
     private static final int DRAWS = 2000;
 
-    /** What the wait after so many failures in a row is, over many draws. */
-    private static IntSummaryStatistics waits(int failuresBefore, long callTookMs) {
+    /** The range of the delay after {@code failuresBefore} earlier failures and one more, over many random draws. */
+    private static IntSummaryStatistics delays(int failuresBefore, long callDurationMs) {
         SplittableRandom random = new SplittableRandom(5);
         return IntStream.range(0, DRAWS)
-                .map(i -> {
-                    BackoffPolicy delay = new BackoffPolicy(FIRST_MS, MOST_MS, random);
-                    for (int f = 0; f < failuresBefore; f++) {
-                        delay.nextMs(0);
+                .map(draw -> {
+                    BackoffPolicy backoff = new BackoffPolicy(INITIAL_DELAY_MS, MAX_DELAY_MS, random);
+                    for (int failure = 0; failure < failuresBefore; failure++) {
+                        backoff.nextDelayMs(0);
                     }
-                    return delay.nextMs(callTookMs);
+                    return backoff.nextDelayMs(callDurationMs);
                 })
                 .summaryStatistics();
     }
 
-    private static void between(int least, int most, IntSummaryStatistics waits) {
-        assertTrue(waits.getMin() >= least && waits.getMax() < most, waits.toString());
-        assertTrue(waits.getMax() - waits.getMin() > (most - least) * 0.9, "spread: " + waits);
+    private static void assertBetween(int minimumMs, int maximumMs, IntSummaryStatistics delays) {
+        assertTrue(delays.getMin() >= minimumMs && delays.getMax() < maximumMs, delays.toString());
+        assertTrue(delays.getMax() - delays.getMin() > (maximumMs - minimumMs) * 0.9, "delays cover too little of the range: " + delays);
     }
 
     @Test
-    void waitsAreDoubledUpToABoundAndDrawnFromHalfToOneAndAHalf() {
-        between(50, 150, waits(0, 0));
-        between(100, 300, waits(1, 0));
-        between(200, 600, waits(2, 0));
-        between(500, 1500, waits(4, 0));
-        between(500, 1500, waits(1000, 0));
+    void doublesDelayUpToBoundAndDrawsFromHalfToOneAndAHalfOfIt() {
+        assertBetween(50, 150, delays(0, 0));
+        assertBetween(100, 300, delays(1, 0));
+        assertBetween(200, 600, delays(2, 0));
+        assertBetween(500, 1500, delays(4, 0));
+        assertBetween(500, 1500, delays(1000, 0));
     }
 
     @Test
-    void whatTheCallHasTakenIsNoLongerWaitedFor() {
-        between(50, 150, waits(4, 2000));
+    void subtractsDurationOfFailedCallFromDelay() {
+        assertBetween(50, 150, delays(4, 2000));
     }
 
     @Test
-    void withTimeLeftTheWaitIsAPartOfItAndTheLessTheSooner() {
-        BackoffPolicy delay = new BackoffPolicy(FIRST_MS, MOST_MS, new SplittableRandom(5));
-        between(
+    void delayIsFractionOfTimeLeftUntilDeadline() {
+        BackoffPolicy backoff = new BackoffPolicy(INITIAL_DELAY_MS, MAX_DELAY_MS, new SplittableRandom(5));
+        assertBetween(
                 500,
                 1500,
-                IntStream.range(0, DRAWS).map(i -> delay.nextMs(0, 6000)).summaryStatistics());
-        between(
+                IntStream.range(0, DRAWS).map(draw -> backoff.nextDelayMs(0, 6000)).summaryStatistics());
+        assertBetween(
                 250,
                 750,
-                IntStream.range(0, DRAWS).map(i -> delay.nextMs(0, 2000)).summaryStatistics());
-        between(50, 150, IntStream.range(0, DRAWS).map(i -> delay.nextMs(0, 10)).summaryStatistics());
-        int first = delay.nextMs(0, 0);
-        assertTrue(first >= 50 && first < 150, "doubling begins once the time is over: " + first);
+                IntStream.range(0, DRAWS).map(draw -> backoff.nextDelayMs(0, 2000)).summaryStatistics());
+        assertBetween(50, 150, IntStream.range(0, DRAWS).map(draw -> backoff.nextDelayMs(0, 10)).summaryStatistics());
+        int delayMs = backoff.nextDelayMs(0, 0);
+        assertTrue(delayMs >= 50 && delayMs < 150, "doubling starts once no time is left: " + delayMs);
     }
 
     @Test
-    void afterASuccessTheNextFailureIsAFirstOne() {
-        BackoffPolicy delay = new BackoffPolicy(FIRST_MS, MOST_MS, new SplittableRandom(5));
-        IntStream.range(0, 9).forEach(i -> delay.nextMs(0));
-        delay.succeeded();
-        assertTrue(delay.nextMs(0) < 150);
+    void startsOverWithInitialDelayAfterReset() {
+        BackoffPolicy backoff = new BackoffPolicy(INITIAL_DELAY_MS, MAX_DELAY_MS, new SplittableRandom(5));
+        IntStream.range(0, 9).forEach(draw -> backoff.nextDelayMs(0));
+        backoff.reset();
+        assertTrue(backoff.nextDelayMs(0) < 150);
     }
 
     @Test
-    void aBoundBelowTheFirstWaitHolds() {
-        assertEquals(1, new BackoffPolicy(FIRST_MS, 1, new SplittableRandom(5)).nextMs(0));
+    void boundBelowInitialDelayApplies() {
+        assertEquals(1, new BackoffPolicy(INITIAL_DELAY_MS, 1, new SplittableRandom(5)).nextDelayMs(0));
     }
 }
--- a/proxy/src/test/java/cacheproxy/discovery/JsonObjectStreamTest.java
+++ b/proxy/src/test/java/cacheproxy/discovery/JsonObjectStreamTest.java
@@ -12,37 +12,37 @@
 import java.util.Map;
 import org.junit.jupiter.api.Test;
 
-/** Objects are found by their braces, whatever the chunks in which they arrive. */
+/** JSON objects are recognized by their braces, whatever the chunks in which they arrive. */
 class JsonObjectStreamTest {
-    private static List<Map<String, Object>> all(JsonObjectStream s, String text, int part) {
-        List<Map<String, Object>> found = new ArrayList<>();
+    private static List<Map<String, Object>> parseAll(JsonObjectStream stream, String text, int chunkBytes) {
+        List<Map<String, Object>> objects = new ArrayList<>();
         byte[] bytes = text.getBytes(StandardCharsets.UTF_8);
-        for (int from = 0; from < bytes.length; from += part) {
-            s.feed(bytes, from, Math.min(bytes.length, from + part));
-            for (Map<String, Object> o = s.next(); o != null; o = s.next()) {
-                found.add(o);
+        for (int start = 0; start < bytes.length; start += chunkBytes) {
+            stream.feed(bytes, start, Math.min(bytes.length, start + chunkBytes));
+            for (Map<String, Object> object = stream.next(); object != null; object = stream.next()) {
+                objects.add(object);
             }
         }
-        return found;
+        return objects;
     }
 
     @Test
-    void objectsAreTheSameInChunksOfAnyLength() {
-        String one = "{\"a\":{\"b\":[1,-2.5,true,false,null,\"\\u00e9}{ü\"]},\"c\":12345678901}";
-        Map<String, Object> wanted = FieldReader.parseObject(one);
-        for (int part = 1; part <= one.length() + 1; part++) {
-            JsonObjectStream s = new JsonObjectStream();
-            assertEquals(List.of(wanted, wanted), all(s, one + "\n" + one, part), "parts of " + part);
-            assertFalse(s.inside());
+    void parsesSameObjectsInChunksOfAnyLength() {
+        String json = "{\"a\":{\"b\":[1,-2.5,true,false,null,\"\\u00e9}{ü\"]},\"c\":12345678901}";
+        Map<String, Object> expected = FieldReader.parseObject(json);
+        for (int chunkBytes = 1; chunkBytes <= json.length() + 1; chunkBytes++) {
+            JsonObjectStream stream = new JsonObjectStream();
+            assertEquals(List.of(expected, expected), parseAll(stream, json + "\n" + json, chunkBytes), "chunks of " + chunkBytes);
+            assertFalse(stream.isInsideObject());
         }
     }
 
     @Test
-    void aValueThatIsNotAnObjectIsAnErrorAndTheNextObjectIsRead() {
-        for (String bad : new String[] {"[1]", "7 ", "\"text\"", "}", "{]", "{\"a\":nil}", "\u0001"}) {
-            JsonObjectStream s = new JsonObjectStream();
-            assertThrows(InvalidInputException.class, () -> all(s, bad, 1), bad);
-            assertEquals(List.of(Map.of("a", 1)), all(s, "{\"a\":1}", 1), bad);
+    void rejectsValueThatIsNotAnObjectAndParsesNextObject() {
+        for (String malformed : new String[] {"[1]", "7 ", "\"text\"", "}", "{]", "{\"a\":nil}", "\u0001"}) {
+            JsonObjectStream stream = new JsonObjectStream();
+            assertThrows(InvalidInputException.class, () -> parseAll(stream, malformed, 1), malformed);
+            assertEquals(List.of(Map.of("a", 1)), parseAll(stream, "{\"a\":1}", 1), malformed);
         }
     }
 }
