--- a/proxy/src/main/java/cacheproxy/logging/NettyLoggerFactory.java
+++ b/proxy/src/main/java/cacheproxy/logging/NettyLoggerFactory.java
@@ -35,8 +35,8 @@
 
         private void write(String message, Object... arguments) {
             StringBuilder line = new StringBuilder("netty: ").append(PrintableText.of(message));
-            for (Object argument : arguments) {
-                line.append("; ").append(PrintableText.of(String.valueOf(argument)));
+            for (Object value : arguments) {
+                line.append("; ").append(PrintableText.of(String.valueOf(value)));
             }
             log.line(line.toString());
         }
--- a/proxy/src/test/java/cacheproxy/discovery/BackoffPolicyTest.java
+++ b/proxy/src/test/java/cacheproxy/discovery/BackoffPolicyTest.java
@@ -30,7 +30,9 @@
 
     private static void assertBetween(int minimumMs, int maximumMs, IntSummaryStatistics delays) {
         assertTrue(delays.getMin() >= minimumMs && delays.getMax() < maximumMs, delays.toString());
-        assertTrue(delays.getMax() - delays.getMin() > (maximumMs - minimumMs) * 0.9, "delays cover too little of the range: " + delays);
+        assertTrue(
+                delays.getMax() - delays.getMin() > (maximumMs - minimumMs) * 0.9,
+                "delays cover too little of the range: " + delays);
     }
 
     @Test
@@ -58,7 +60,8 @@
                 250,
                 750,
                 IntStream.range(0, DRAWS).map(draw -> backoff.nextDelayMs(0, 2000)).summaryStatistics());
-        assertBetween(50, 150, IntStream.range(0, DRAWS).map(draw -> backoff.nextDelayMs(0, 10)).summaryStatistics());
+        assertBetween(
+                50, 150, IntStream.range(0, DRAWS).map(draw -> backoff.nextDelayMs(0, 10)).summaryStatistics());
         int delayMs = backoff.nextDelayMs(0, 0);
         assertTrue(delayMs >= 50 && delayMs < 150, "doubling starts once no time is left: " + delayMs);
     }
--- a/proxy/src/test/java/cacheproxy/discovery/JsonObjectStreamTest.java
+++ b/proxy/src/test/java/cacheproxy/discovery/JsonObjectStreamTest.java
@@ -32,7 +32,10 @@
         Map<String, Object> expected = FieldReader.parseObject(json);
         for (int chunkBytes = 1; chunkBytes <= json.length() + 1; chunkBytes++) {
             JsonObjectStream stream = new JsonObjectStream();
-            assertEquals(List.of(expected, expected), parseAll(stream, json + "\n" + json, chunkBytes), "chunks of " + chunkBytes);
+            assertEquals(
+                    List.of(expected, expected),
+                    parseAll(stream, json + "\n" + json, chunkBytes),
+                    "chunks of " + chunkBytes);
             assertFalse(stream.isInsideObject());
         }
     }
--- a/proxy/src/test/java/cacheproxy/server/AnsweringDiscovery.java
+++ b/proxy/src/test/java/cacheproxy/server/AnsweringDiscovery.java
@@ -5,13 +5,13 @@
 import java.util.concurrent.atomic.AtomicInteger;
 
 /**
- * Discovery on a real socket that answers each watch at once with the list that it holds then, after it has turned away
- * as many calls as the test wants.
+ * A discovery service on a real socket: it rejects as many calls as the test sets, and responds to each further watch
+ * immediately with its current list.
  */
 final class AnsweringDiscovery implements Closeable {
     final Peer.Listener listener = new Peer.Listener();
-    private final AtomicInteger toTurnAway = new AtomicInteger();
-    private final AtomicInteger turnedAway = new AtomicInteger();
+    private final AtomicInteger callsToReject = new AtomicInteger();
+    private final AtomicInteger rejectedCalls = new AtomicInteger();
     private final Thread acceptor = new Thread(this::acceptAll, "discovery");
     private volatile String list;
 
@@ -21,37 +21,37 @@
         acceptor.start();
     }
 
-    /** What it tells from now on; watches that are open are not told. */
+    /** Sets the list that later watches receive; open watches are not notified. */
     void holds(String newList) {
         list = newList;
     }
 
-    /** So many of the calls from now on are answered 503. */
+    /** Rejects the next {@code calls} calls with 503. */
     void turnsAway(int calls) {
-        toTurnAway.set(calls);
+        callsToReject.set(calls);
     }
 
     int turnedAway() {
-        return turnedAway.get();
+        return rejectedCalls.get();
     }
 
     private void acceptAll() {
         try {
             while (true) {
-                answer(listener.take());
+                respond(listener.take());
             }
         } catch (InterruptedException e) {
             // closed by the test
         }
     }
 
-    private void answer(Peer call) {
+    private void respond(Peer call) {
         try {
             for (String line = call.line(); line != null && !line.isEmpty(); line = call.line()) {
-                // the lines of the request
+                // reads the lines of the request
             }
-            if (toTurnAway.getAndUpdate(left -> Math.max(0, left - 1)) > 0) {
-                turnedAway.incrementAndGet();
+            if (callsToReject.getAndUpdate(remaining -> Math.max(0, remaining - 1)) > 0) {
+                rejectedCalls.incrementAndGet();
                 call.send("HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n");
                 return;
             }
--- a/proxy/src/test/java/cacheproxy/server/DiscoveryTest.java
+++ b/proxy/src/test/java/cacheproxy/server/DiscoveryTest.java
@@ -7,115 +7,115 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** The list of cache nodes: what changes reach, and that a bad or failing discovery takes nothing away. */
+/** Endpoint lists of discovery: changes are applied, and malformed lists or failed calls leave the list held in use. */
 @Timeout(60)
 class DiscoveryTest {
 
-    /** Has a request served by a node on a connection that came or was open already. */
-    private static Peer serve(Fixture f, Peer client, String id, int node, Peer open) throws Exception {
+    /** Has a request served by a node, on {@code openConnection} or, if that is null, on a new connection. */
+    private static Peer serve(Fixture fixture, Peer client, String id, int node, Peer openConnection) throws Exception {
         client.send(Fixture.read(id, 4000));
-        Peer p = open != null ? open : f.nodes.get(node).next();
-        assertTrue(p.line().startsWith("mg 7f3a9c21e0b4d655 v O" + id + " "));
-        p.send("VA 1 O" + id + "\r\n1\r\n");
+        Peer connection = openConnection != null ? openConnection : fixture.nodes.get(node).next();
+        assertTrue(connection.line().startsWith("mg 7f3a9c21e0b4d655 v O" + id + " "));
+        connection.send("VA 1 O" + id + "\r\n1\r\n");
         client.expect("VA 1 O" + id, "1");
-        return p;
+        return connection;
     }
 
-    private static String callLine(Peer call) throws IOException {
-        String first = call.line();
-        for (String line = first; !line.isEmpty(); line = call.line()) {
-            // the rest of the call
+    private static String requestLine(Peer call) throws IOException {
+        String firstLine = call.line();
+        for (String line = firstLine; !line.isEmpty(); line = call.line()) {
+            // the rest of the request
         }
-        return first;
+        return firstLine;
     }
 
     @Test
-    void theWatchAsksForWhatChangedAfterTheKnownList() throws Exception {
-        try (Fixture f = new Fixture(1)) {
-            assertEquals("GET /registry/instances?stream=1&index=1 HTTP/1.1", callLine(f.discovery.next()));
+    void watchRequestsChangesSinceKnownList() throws Exception {
+        try (Fixture fixture = new Fixture(1)) {
+            assertEquals("GET /registry/instances?stream=1&index=1 HTTP/1.1", requestLine(fixture.discovery.next()));
         }
     }
 
     @Test
-    void aDrainingNodeGetsNothingNewAndItsIdleConnectionsEnd() throws Exception {
-        try (Fixture f = new Fixture(1)) {
-            f.nodes.add(new Peer.Listener());
-            Peer client = f.client();
-            Peer old = serve(f, client, "a1", 0, null);
-            Peer watch = f.watch();
+    void sendsNothingToDrainingNodeAndClosesItsIdleConnections() throws Exception {
+        try (Fixture fixture = new Fixture(1)) {
+            fixture.nodes.add(new Peer.Listener());
+            Peer client = fixture.client();
+            Peer oldConnection = serve(fixture, client, "a1", 0, null);
+            Peer watch = fixture.watch();
             Fixture.chunk(watch, "");
-            Fixture.chunk(watch, Fixture.list(2, false, f.entry(0, "DRAINING"), f.entry(1, "SERVING")));
-            old.expectEnd();
-            Peer open = serve(f, client, "a2", 1, null);
-            serve(f, client, "a3", 1, open);
-            assertEquals(1, f.nodes.get(0).count());
+            Fixture.chunk(watch, Fixture.list(2, false, fixture.entry(0, "DRAINING"), fixture.entry(1, "SERVING")));
+            oldConnection.expectEnd();
+            Peer connection = serve(fixture, client, "a2", 1, null);
+            serve(fixture, client, "a3", 1, connection);
+            assertEquals(1, fixture.nodes.get(0).count());
         }
     }
 
-    /** Danger: ids are new with each machine, and what is kept of those that are gone grows for good. */
+    /** Each new machine has a new id: state kept for nodes that are gone would grow without limit. */
     @Test
-    void nothingIsKeptOfNodesThatAreGoneEvenIfTheyWereNeverListed() throws Exception {
-        try (Fixture f = new Fixture(1)) {
-            Peer watch = f.watch();
-            String[] gone = new String[100];
-            for (int i = 0; i < gone.length; i++) {
-                gone[i] = f.entry(0, "DELETED").replace("s-0", "g-" + i);
+    void keepsNoStateOfGoneNodesEvenIfNeverListedBefore() throws Exception {
+        try (Fixture fixture = new Fixture(1)) {
+            Peer watch = fixture.watch();
+            String[] goneEntries = new String[100];
+            for (int i = 0; i < goneEntries.length; i++) {
+                goneEntries[i] = fixture.entry(0, "DELETED").replace("s-0", "g-" + i);
             }
-            Fixture.chunk(watch, Fixture.list(2, false, gone));
-            Fixture.chunk(watch, "{}"); // no list: it ends the watch, after the one before it was taken in
+            Fixture.chunk(watch, Fixture.list(2, false, goneEntries));
+            Fixture.chunk(watch, "{}"); // not a list: the proxy closes the watch, after it has accepted the list before
             watch.expectEnd();
             assertEquals(
                     1,
-                    f.loop.submit(() -> f.proxy.discovery.numberedEndpoints()).get());
+                    fixture.loop.submit(() -> fixture.proxy.discovery.numberedEndpoints()).get());
         }
     }
 
     @Test
-    void anAttemptOutAtANodeThatDrainsIsStillAnswered() throws Exception {
-        try (Fixture f = new Fixture(1)) {
-            f.nodes.add(new Peer.Listener());
-            Peer client = f.client();
-            Peer other = f.client();
-            Peer idle = serve(f, other, "a0", 0, null);
+    void completesAttemptInFlightAtNodeThatLeavesTheList() throws Exception {
+        try (Fixture fixture = new Fixture(1)) {
+            fixture.nodes.add(new Peer.Listener());
+            Peer client = fixture.client();
+            Peer otherClient = fixture.client();
+            Peer connectionInUse = serve(fixture, otherClient, "a0", 0, null);
             client.send(Fixture.read("a1", 4000));
-            idle.line();
-            Peer watch = f.watch();
-            Fixture.chunk(watch, Fixture.list(2, true, f.entry(1, "SERVING")));
-            serve(f, other, "a2", 1, null);
-            idle.send("VA 1 Oa1\r\n1\r\n");
+            connectionInUse.line();
+            Peer watch = fixture.watch();
+            Fixture.chunk(watch, Fixture.list(2, true, fixture.entry(1, "SERVING")));
+            serve(fixture, otherClient, "a2", 1, null);
+            connectionInUse.send("VA 1 Oa1\r\n1\r\n");
             client.expect("VA 1 Oa1", "1");
-            idle.expectEnd();
+            connectionInUse.expectEnd();
         }
     }
 
     @Test
-    void aBadListIsSkippedAndWhatChangedIsAskedForAgainFromTheLastGoodOne() throws Exception {
-        try (Fixture f = new Fixture(1)) {
-            Peer watch = f.watch();
-            Fixture.chunk(watch, Fixture.list(5, true, f.entry(0, "SERVING")));
-            Fixture.chunk(watch, Fixture.list(6, true, f.entry(0, "DRAINING").replace("127.0.0.1", "nowhere")));
+    void skipsMalformedListAndRequestsChangesSinceLastValidOne() throws Exception {
+        try (Fixture fixture = new Fixture(1)) {
+            Peer watch = fixture.watch();
+            Fixture.chunk(watch, Fixture.list(5, true, fixture.entry(0, "SERVING")));
+            Fixture.chunk(watch, Fixture.list(6, true, fixture.entry(0, "DRAINING").replace("127.0.0.1", "nowhere")));
             watch.expectEnd();
-            serve(f, f.client(), "a1", 0, null);
-            assertEquals("GET /registry/instances?stream=1&index=5 HTTP/1.1", callLine(f.discovery.next()));
+            serve(fixture, fixture.client(), "a1", 0, null);
+            assertEquals("GET /registry/instances?stream=1&index=5 HTTP/1.1", requestLine(fixture.discovery.next()));
         }
     }
 
     @Test
-    void aCallThatFailsIsMadeAgainAndTheKnownListServesMeanwhile() throws Exception {
-        try (Fixture f = new Fixture(1)) {
-            Peer call = f.discovery.next();
-            callLine(call);
+    void retriesFailedCallAndUsesKnownListMeanwhile() throws Exception {
+        try (Fixture fixture = new Fixture(1)) {
+            Peer call = fixture.discovery.next();
+            requestLine(call);
             call.send("HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n");
             call.expectEnd();
-            serve(f, f.client(), "a1", 0, null);
-            callLine(f.discovery.next());
+            serve(fixture, fixture.client(), "a1", 0, null);
+            requestLine(fixture.discovery.next());
         }
     }
 
     @Test
-    void whereListsArePushedTheWatchBeginsWithTheProxy() throws Exception {
-        try (Fixture f = new Fixture(1, s -> s.replace("\"subscribe\"", "\"automatic\""), 1024)) {
-            assertEquals("GET /registry/instances?stream=1&index=1 HTTP/1.1", callLine(f.discovery.next()));
+    void startsWatchWithProxyWhereAgentPushesLists() throws Exception {
+        try (Fixture fixture = new Fixture(1, settings -> settings.replace("\"subscribe\"", "\"automatic\""), 1024)) {
+            assertEquals("GET /registry/instances?stream=1&index=1 HTTP/1.1", requestLine(fixture.discovery.next()));
         }
     }
 }
--- a/proxy/src/test/java/cacheproxy/server/HungLoop.java
+++ b/proxy/src/test/java/cacheproxy/server/HangingEventLoopMain.java
@@ -10,25 +10,27 @@
 import java.nio.file.Path;
 import java.util.concurrent.CountDownLatch;
 
-/** The program with a loop that hangs once the file that its first argument names is gone. */
-final class HungLoop {
-    private HungLoop() {}
+/** Runs the proxy with an event loop that hangs once the file named by the first argument is deleted. */
+final class HangingEventLoopMain {
+    private HangingEventLoopMain() {}
 
     public static void main(String[] args) {
-        Path file = Path.of(args[0]);
-        IoHandlerFactory real = NioIoHandler.newFactory();
+        Path aliveFile = Path.of(args[0]);
+        IoHandlerFactory realFactory = NioIoHandler.newFactory();
         IoHandlerFactory hanging = executor -> {
-            IoHandler handler = real.newHandler(executor);
+            IoHandler realHandler = realFactory.newHandler(executor);
             return (IoHandler) Proxy.newProxyInstance(
-                    HungLoop.class.getClassLoader(), new Class<?>[] {IoHandler.class}, (self, method, values) -> {
+                    HangingEventLoopMain.class.getClassLoader(),
+                    new Class<?>[] {IoHandler.class},
+                    (self, method, arguments) -> {
                         if (method.getName().equals("run")
-                                && values[0] instanceof IoHandlerContext
-                                && Files.notExists(file)) {
+                                && arguments[0] instanceof IoHandlerContext
+                                && Files.notExists(aliveFile)) {
                             System.err.println("hanging");
-                            new CountDownLatch(1).await(); // for ever
+                            new CountDownLatch(1).await(); // blocks forever
                         }
                         try {
-                            return method.invoke(handler, values);
+                            return method.invoke(realHandler, arguments);
                         } catch (InvocationTargetException e) {
                             throw e.getCause();
                         }
--- a/proxy/src/test/java/cacheproxy/server/IndentedListTest.java
+++ b/proxy/src/test/java/cacheproxy/server/IndentedListTest.java
@@ -3,7 +3,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** Lists may come indented: where an object ends is told by its braces, not by a line feed. */
+/** Endpoint lists may be indented: the end of a list is found by its braces, not by a line feed. */
 @Timeout(60)
 class IndentedListTest {
     private static final String INDENTED = """
@@ -24,112 +24,112 @@
           ]
         }""";
 
-    private static void raw(Peer watch, String part) throws Exception {
-        watch.send(Integer.toHexString(part.length()) + "\r\n" + part + "\r\n");
+    private static void sendChunk(Peer watch, String chunk) throws Exception {
+        watch.send(Integer.toHexString(chunk.length()) + "\r\n" + chunk + "\r\n");
     }
 
-    /** A connection of the first node that rests: its end tells that the drain was heard. */
-    private static Peer resting(Fixture f) throws Exception {
-        Peer client = f.client();
+    /** An idle connection of the first node; the proxy closes it once it has received the drain. */
+    private static Peer idleConnection(Fixture fixture) throws Exception {
+        Peer client = fixture.client();
         client.send(Fixture.read("a1", 4000));
-        Peer node = f.nodes.get(0).next();
+        Peer node = fixture.nodes.get(0).next();
         node.line();
         node.send("VA 1 Oa1\r\n1\r\n");
         client.expect("VA 1 Oa1", "1");
         return node;
     }
 
-    /** Danger: each line of it was read as a list, none was one, and the drain in it was never heard. */
+    /** When each line was parsed as a list of its own, none could be parsed, and the drain in the list was lost. */
     @Test
-    void anIndentedListOnAWatchIsHeard() throws Exception {
-        try (Fixture f = new Fixture(1)) {
-            Peer node = resting(f);
-            Peer watch = f.watch();
-            raw(watch, INDENTED.formatted(f.nodes.get(0).address()) + "\n");
+    void acceptsIndentedListOnWatch() throws Exception {
+        try (Fixture fixture = new Fixture(1)) {
+            Peer node = idleConnection(fixture);
+            Peer watch = fixture.watch();
+            sendChunk(watch, INDENTED.formatted(fixture.nodes.get(0).address()) + "\n");
             node.expectEnd();
         }
     }
 
     @Test
-    void itIsHeardAtItsLastBraceInPartsOfOneByte() throws Exception {
-        try (Fixture f = new Fixture(1)) {
-            Peer node = resting(f);
-            Peer watch = f.watch();
-            for (char c : INDENTED.formatted(f.nodes.get(0).address()).toCharArray()) {
-                raw(watch, String.valueOf(c));
+    void acceptsIndentedListInChunksOfOneByte() throws Exception {
+        try (Fixture fixture = new Fixture(1)) {
+            Peer node = idleConnection(fixture);
+            Peer watch = fixture.watch();
+            for (char character : INDENTED.formatted(fixture.nodes.get(0).address()).toCharArray()) {
+                sendChunk(watch, String.valueOf(character));
             }
             node.expectEnd();
         }
     }
 
     @Test
-    void itIsHeardWithAnotherGluedToItAndABlankLineBetween() throws Exception {
-        for (String between : new String[] {"", "\n", "\r\n\r\n", "  "}) {
-            try (Fixture f = new Fixture(1)) {
-                Peer node = resting(f);
-                Peer watch = f.watch();
-                raw(
+    void acceptsIndentedListAfterAnotherListWhateverSeparatesThem() throws Exception {
+        for (String separator : new String[] {"", "\n", "\r\n\r\n", "  "}) {
+            try (Fixture fixture = new Fixture(1)) {
+                Peer node = idleConnection(fixture);
+                Peer watch = fixture.watch();
+                sendChunk(
                         watch,
                         Fixture.list(1, false)
-                                + between
-                                + INDENTED.formatted(f.nodes.get(0).address()));
+                                + separator
+                                + INDENTED.formatted(fixture.nodes.get(0).address()));
                 node.expectEnd();
             }
         }
     }
 
-    /** Danger: bytes that go on for ever keep a watch from falling silent, and fill memory. */
+    /** A list that never ends would keep a watch from timing out as silent, and fill the memory. */
     @Test
-    void oneThatNeverEndsEndsTheWatch() throws Exception {
-        try (Fixture f = new Fixture(1)) {
-            Peer watch = f.watch();
-            Thread trickle = new Thread(() -> {
+    void closesWatchWhoseListIsNotCompletedInTime() throws Exception {
+        try (Fixture fixture = new Fixture(1)) {
+            Peer watch = fixture.watch();
+            Thread slowSender = new Thread(() -> {
                 try {
-                    raw(watch, "{\"version\":2,\"servers\":[");
+                    sendChunk(watch, "{\"version\":2,\"servers\":[");
                     while (!Thread.interrupted()) {
-                        raw(watch, " ");
-                        Thread.sleep(20); // the pace of a peer that trickles, no wait for anything
+                        sendChunk(watch, " ");
+                        Thread.sleep(20); // the pace of the slow sender, not a wait for an event
                     }
                 } catch (Exception e) {
-                    // the watch was ended
+                    // the proxy has closed the watch
                 }
             });
-            trickle.start();
-            f.watch(); // opened anew
-            trickle.interrupt();
-            trickle.join();
+            slowSender.start();
+            fixture.watch(); // the proxy has opened another watch
+            slowSender.interrupt();
+            slowSender.join();
         }
     }
 
     @Test
-    void oneThatGrowsTooLargeEndsTheWatch() throws Exception {
-        try (Fixture f = new Fixture(1)) {
-            Peer watch = f.watch();
-            raw(watch, "{\"version\":2,\"servers\":[\n");
+    void closesWatchWhoseListExceedsSizeLimit() throws Exception {
+        try (Fixture fixture = new Fixture(1)) {
+            Peer watch = fixture.watch();
+            sendChunk(watch, "{\"version\":2,\"servers\":[\n");
             String block = " ".repeat(4095) + "\n";
             for (int i = 0; i < 255; i++) {
-                raw(watch, block);
+                sendChunk(watch, block);
             }
             try {
-                raw(watch, block + block);
+                sendChunk(watch, block + block);
                 watch.expectEnd();
             } catch (java.net.SocketException e) {
-                // ended while it was written
+                // closed during the write
             }
-            f.watch();
+            fixture.watch();
         }
     }
 
-    /** What came with a spoilt list in one read is taken: a drain among it may have been told long ago. */
+    /** Valid lists of the same read as a malformed one are accepted: a drain in them may already count as notified. */
     @Test
-    void aListBehindOneThatIsBrokenOffIsHeard() throws Exception {
-        try (Fixture f = new Fixture(1)) {
-            Peer node = resting(f);
-            Peer watch = f.watch();
-            raw(
+    void acceptsListThatFollowsMalformedList() throws Exception {
+        try (Fixture fixture = new Fixture(1)) {
+            Peer node = idleConnection(fixture);
+            Peer watch = fixture.watch();
+            sendChunk(
                     watch,
                     "{\n \"version\": 2,\n \"servers\": [ nonsense\n"
-                            + INDENTED.formatted(f.nodes.get(0).address()).replaceAll("\n *", "") + "\n");
+                            + INDENTED.formatted(fixture.nodes.get(0).address()).replaceAll("\n *", "") + "\n");
             node.expectEnd();
             watch.expectEnd();
         }
--- a/proxy/src/test/java/cacheproxy/server/ProxyConfigurationTest.java
+++ b/proxy/src/test/java/cacheproxy/server/ProxyConfigurationTest.java
@@ -22,90 +22,92 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** What the proxy is told at its start, and that anything missing or malformed ends it with one plain line. */
+/** Reads the configuration; a missing or malformed field ends the start of the proxy with one line. */
 class ProxyConfigurationTest {
     private static final String KNOWN = Fixture.list(41, true);
 
     @TempDir
-    Path folder;
+    Path directory;
 
-    private Map<String, String> env(String json) throws Exception {
-        Path file = folder.resolve("config.json");
+    private Map<String, String> environment(String json) throws Exception {
+        Path file = directory.resolve("config.json");
         Files.writeString(file, json);
         return new HashMap<>(Fixture.env(file, "127.0.0.1:8500"));
     }
 
-    private String rejected(Map<String, String> env) {
-        String message = assertThrows(InvalidInputException.class, () -> ProxyConfiguration.load(env))
+    private String rejectionMessage(Map<String, String> environment) {
+        String message = assertThrows(InvalidInputException.class, () -> ProxyConfiguration.load(environment))
                 .getMessage();
         assertFalse(message.contains("\n"), message);
         return message;
     }
 
     @Test
-    void readsTheSettingsAsTheSimulatorsWireHasThem() throws Exception {
-        ProxyConfiguration c = ProxyConfiguration.load(env(Fixture.json(KNOWN, Fixture.SETTINGS, 1024)));
-        assertEquals(0x8c1f30d27a5be964L, c.seed);
-        assertEquals(8500, c.discovery.getPort());
-        assertEquals(3, c.settings.requestClasses.length);
-        assertEquals(Idempotency.IDEMPOTENCY_KEY, c.settings.requestClasses[2].idempotency);
-        assertEquals(5_000_000, c.settings.requestClasses[2].deduplicationWindowUs);
-        assertEquals("acme", c.settings.tenants[0].name);
-        assertEquals(LoadReportSource.RESPONSES, c.settings.loadReportSource);
-        assertTrue(c.settings.subscribeRequired);
-        assertEquals(List.of("east", "west"), c.zones);
+    void readsSettingsInFormatOfSimulatorProtocol() throws Exception {
+        ProxyConfiguration configuration =
+                ProxyConfiguration.load(environment(Fixture.json(KNOWN, Fixture.SETTINGS, 1024)));
+        assertEquals(0x8c1f30d27a5be964L, configuration.seed);
+        assertEquals(8500, configuration.discovery.getPort());
+        assertEquals(3, configuration.settings.requestClasses.length);
+        assertEquals(Idempotency.IDEMPOTENCY_KEY, configuration.settings.requestClasses[2].idempotency);
+        assertEquals(5_000_000, configuration.settings.requestClasses[2].deduplicationWindowUs);
+        assertEquals("acme", configuration.settings.tenants[0].name);
+        assertEquals(LoadReportSource.RESPONSES, configuration.settings.loadReportSource);
+        assertTrue(configuration.settings.subscribeRequired);
+        assertEquals(List.of("east", "west"), configuration.zones);
     }
 
     @Test
-    void namesWhatIsMissingOrMalformed() throws Exception {
-        String good = Fixture.json(KNOWN, Fixture.SETTINGS, 1024);
+    void namesMissingOrMalformedField() throws Exception {
+        String valid = Fixture.json(KNOWN, Fixture.SETTINGS, 1024);
         for (String name : List.of("LB_NAME", "LB_LISTEN", "LB_DISCOVERY", "LB_CONFIG")) {
-            Map<String, String> env = env(good);
-            env.remove(name);
-            assertTrue(rejected(env).contains(name));
+            Map<String, String> environment = environment(valid);
+            environment.remove(name);
+            assertTrue(rejectionMessage(environment).contains(name));
         }
-        Map<String, String> listen = env(good);
-        listen.put("LB_LISTEN", "localhost:11211");
-        assertTrue(rejected(listen).contains("LB_LISTEN"));
-        Map<String, String> file = env(good);
-        file.put("LB_CONFIG", folder.resolve("none").toString());
-        assertTrue(rejected(file).contains("LB_CONFIG"));
-        assertTrue(rejected(env("{\"name\":")).contains("JSON"));
-        assertTrue(rejected(env("[]")).contains("JSON"));
-        assertTrue(rejected(env(good.replace("\"settings\"", "\"sittings\""))).contains("settings"));
-        assertTrue(rejected(env(good.replace("8c1f30d27a5be964", "seed"))).contains("seed"));
+        Map<String, String> invalidListen = environment(valid);
+        invalidListen.put("LB_LISTEN", "localhost:11211");
+        assertTrue(rejectionMessage(invalidListen).contains("LB_LISTEN"));
+        Map<String, String> missingFile = environment(valid);
+        missingFile.put("LB_CONFIG", directory.resolve("none").toString());
+        assertTrue(rejectionMessage(missingFile).contains("LB_CONFIG"));
+        assertTrue(rejectionMessage(environment("{\"name\":")).contains("JSON"));
+        assertTrue(rejectionMessage(environment("[]")).contains("JSON"));
+        assertTrue(rejectionMessage(environment(valid.replace("\"settings\"", "\"sittings\""))).contains("settings"));
+        assertTrue(rejectionMessage(environment(valid.replace("8c1f30d27a5be964", "seed"))).contains("seed"));
         assertTrue(
-                rejected(env(good.replace("\"sockets\":1024", "\"sockets\":3"))).contains("sockets"));
-        assertTrue(rejected(env(good.replace("\"maxAttempts\":4", "\"maxAttempts\":\"x\"")))
+                rejectionMessage(environment(valid.replace("\"sockets\":1024", "\"sockets\":3"))).contains("sockets"));
+        assertTrue(rejectionMessage(environment(valid.replace("\"maxAttempts\":4", "\"maxAttempts\":\"x\"")))
                 .contains("maxAttempts"));
     }
 
     @Test
-    void theProgramEndsWithOneLineAndCode2() throws Exception {
-        ProcessBuilder b = new ProcessBuilder(
+    void exitsWithCode2AndOneLineOnInvalidConfiguration() throws Exception {
+        ProcessBuilder builder = new ProcessBuilder(
                 Path.of(System.getProperty("java.home"), "bin", "java").toString(),
                 "-cp",
                 System.getProperty("java.class.path"),
                 "cacheproxy.app.Main",
                 "serve");
-        b.environment().putAll(env(Fixture.json("{\"version\":1,\"servers\":[{}]}", Fixture.SETTINGS, 1024)));
-        Process p = b.start();
-        String err = new String(p.getErrorStream().readAllBytes(), StandardCharsets.UTF_8);
-        assertEquals(2, p.waitFor());
-        assertEquals(1, err.lines().count(), err);
-        assertTrue(err.contains("list entry"), err);
+        builder.environment()
+                .putAll(environment(Fixture.json("{\"version\":1,\"servers\":[{}]}", Fixture.SETTINGS, 1024)));
+        Process process = builder.start();
+        String errorOutput = new String(process.getErrorStream().readAllBytes(), StandardCharsets.UTF_8);
+        assertEquals(2, process.waitFor());
+        assertEquals(1, errorOutput.lines().count(), errorOutput);
+        assertTrue(errorOutput.contains("list entry"), errorOutput);
     }
 
-    /** One that ended with its line and code went on calling discovery and logging until the JVM was gone. */
+    /** A proxy whose start failed kept calling discovery and logging until the JVM had exited. */
     @Test
-    void aProxyThatCannotStartCallsNobody() throws Exception {
+    void makesNoCallToDiscoveryIfStartFails() throws Exception {
         EventLoop loop = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory()).next();
         try (Peer.Listener discovery = new Peer.Listener()) {
             String malformed = "{\"version\":7,\"servers\":[{}]}";
-            ProxyConfiguration bad = started(discovery, malformed);
-            assertThrows(InvalidInputException.class, () -> Fixture.start(bad, loop, module -> module));
-            Fixture.start(started(discovery, Fixture.list(5, true)), loop, x -> x);
-            // the seed is the same and so the moment to ask: had the first asked, it would have been before
+            ProxyConfiguration invalid = configurationWith(discovery, malformed);
+            assertThrows(InvalidInputException.class, () -> Fixture.start(invalid, loop, router -> router));
+            Fixture.start(configurationWith(discovery, Fixture.list(5, true)), loop, delegate -> delegate);
+            // both have the same seed and so the same delay of the first call: the first proxy's would come earlier
             assertEquals(
                     "GET /registry/instances?stream=1&index=5 HTTP/1.1",
                     discovery.next().line());
@@ -114,9 +116,9 @@
         }
     }
 
-    private ProxyConfiguration started(Peer.Listener discovery, String list) throws Exception {
-        Map<String, String> env = env(Fixture.json(list, Fixture.SETTINGS, 1024));
-        env.put("LB_DISCOVERY", discovery.address());
-        return ProxyConfiguration.load(env);
+    private ProxyConfiguration configurationWith(Peer.Listener discovery, String list) throws Exception {
+        Map<String, String> environment = environment(Fixture.json(list, Fixture.SETTINGS, 1024));
+        environment.put("LB_DISCOVERY", discovery.address());
+        return ProxyConfiguration.load(environment);
     }
 }
--- a/proxy/src/test/java/cacheproxy/server/ReloadTest.java
+++ b/proxy/src/test/java/cacheproxy/server/ReloadTest.java
@@ -13,122 +13,126 @@
 import sun.misc.Signal;
 import sun.misc.SignalHandler;
 
-/** SIGHUP: a new configuration under load, and discovery at another address. */
+/** Reload by SIGHUP: a new configuration, and a migration to discovery at another address. */
 @Timeout(60)
 class ReloadTest {
 
-    /** A configuration file that SIGHUP makes this proxy read. */
-    private static final class Hup implements Closeable {
-        private final Path file = Files.createTempFile("config", ".json");
-        private final SignalHandler before = Signal.handle(new Signal("HUP"), s -> {});
+    /** Writes the configuration file and makes the proxy reload it by SIGHUP. */
+    private static final class SighupReload implements Closeable {
+        private final Path configurationFile = Files.createTempFile("config", ".json");
+        private final SignalHandler previousHandler = Signal.handle(new Signal("HUP"), signal -> {});
 
-        Hup(Fixture f) throws IOException {
-            Map<String, String> env = Fixture.env(file, f.discovery.address());
-            ConfigurationReloader reload = new ConfigurationReloader(env, Fixture.log(), f.config, f.proxy::reload);
-            ProcessSignals.install().onHup(reload::request);
+        SighupReload(Fixture fixture) throws IOException {
+            Map<String, String> environment = Fixture.env(configurationFile, fixture.discovery.address());
+            ConfigurationReloader reloader = new ConfigurationReloader(
+                    environment, Fixture.log(), fixture.config, fixture.proxy::reload);
+            ProcessSignals.install().onHup(reloader::request);
         }
 
-        /** Danger: with nobody handling it, the signal ends the whole program. */
-        void configuration(String text) throws IOException {
-            Files.writeString(file, text);
+        /** Without a handler the signal would end the JVM that runs the tests. */
+        void loadConfiguration(String text) throws IOException {
+            Files.writeString(configurationFile, text);
             Signal.raise(new Signal("HUP"));
         }
 
-        void discovery(String address) throws IOException {
-            configuration(Fixture.json(Fixture.list(1, true), Fixture.SETTINGS, 1024)
+        void moveDiscovery(String address) throws IOException {
+            loadConfiguration(Fixture.json(Fixture.list(1, true), Fixture.SETTINGS, 1024)
                     .replace("{\"name\"", "{\"discovery\":\"" + address + "\",\"name\""));
         }
 
         @Override
         public void close() throws IOException {
-            Signal.handle(new Signal("HUP"), before);
-            Files.delete(file);
+            Signal.handle(new Signal("HUP"), previousHandler);
+            Files.delete(configurationFile);
         }
     }
 
-    private static Peer begun(Peer.Listener discovery) throws Exception {
-        Peer p = discovery.next();
-        assertEquals("GET /registry/instances?stream=1&index=0 HTTP/1.1", p.line());
-        while (!p.line().isEmpty()) {
-            // the rest of the call
+    private static Peer acceptWatch(Peer.Listener discovery) throws Exception {
+        Peer watch = discovery.next();
+        assertEquals("GET /registry/instances?stream=1&index=0 HTTP/1.1", watch.line());
+        while (!watch.line().isEmpty()) {
+            // the rest of the request
         }
-        p.send("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
-        return p;
+        watch.send("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
+        return watch;
     }
 
-    private static Peer serve(Fixture f, Peer client, String id, int node, Peer open) throws Exception {
+    private static Peer serve(Fixture fixture, Peer client, String id, int node, Peer openConnection) throws Exception {
         client.send(Fixture.read(id, 4000));
-        Peer p = open != null ? open : f.nodes.get(node).next();
-        assertTrue(p.line().startsWith("mg 7f3a9c21e0b4d655 v O" + id + " "));
-        p.send("VA 1 O" + id + "\r\n1\r\n");
+        Peer connection = openConnection != null ? openConnection : fixture.nodes.get(node).next();
+        assertTrue(connection.line().startsWith("mg 7f3a9c21e0b4d655 v O" + id + " "));
+        connection.send("VA 1 O" + id + "\r\n1\r\n");
         client.expect("VA 1 O" + id, "1");
-        return p;
+        return connection;
     }
 
     @Test
-    void discoveryMovesAndTheListHeldServesUntilTheNewServiceSpeaks() throws Exception {
-        try (Fixture f = new Fixture(1);
-                Hup hup = new Hup(f);
-                Peer.Listener moved = new Peer.Listener()) {
-            f.nodes.add(new Peer.Listener());
-            Peer old = f.watch();
-            Fixture.chunk(old, Fixture.list(500, true, f.entry(0, "SERVING")));
-            hup.discovery(moved.address());
-            Peer fresh = begun(moved);
-            old.close(); // the old service goes before the new one has spoken: nothing is taken away
-            Peer client = f.client();
-            Peer node = serve(f, client, "a1", 0, null);
-            Fixture.chunk(fresh, Fixture.list(3, true, f.entry(1, "SERVING"))); // its versions are its own
+    void keepsUsingListUntilNewServiceSendsItsFirst() throws Exception {
+        try (Fixture fixture = new Fixture(1);
+                SighupReload reload = new SighupReload(fixture);
+                Peer.Listener newService = new Peer.Listener()) {
+            fixture.nodes.add(new Peer.Listener());
+            Peer oldWatch = fixture.watch();
+            Fixture.chunk(oldWatch, Fixture.list(500, true, fixture.entry(0, "SERVING")));
+            reload.moveDiscovery(newService.address());
+            Peer newWatch = acceptWatch(newService);
+            oldWatch.close(); // the old service stops before the new one has sent a list: the list held stays in use
+            Peer client = fixture.client();
+            Peer node = serve(fixture, client, "a1", 0, null);
+            Fixture.chunk(newWatch, Fixture.list(3, true, fixture.entry(1, "SERVING"))); // versions restart
             node.expectEnd();
-            serve(f, client, "a2", 1, null);
-            assertEquals(1, f.discovery.count());
+            serve(fixture, client, "a2", 1, null);
+            assertEquals(1, fixture.discovery.count());
         }
     }
 
     @Test
-    void aNewServiceWhoseFirstCallsFailIsAskedAgain() throws Exception {
-        try (Fixture f = new Fixture(1);
-                Hup hup = new Hup(f);
-                Peer.Listener moved = new Peer.Listener()) {
-            f.watch();
-            hup.discovery(moved.address());
+    void retriesNewServiceAfterFailedCalls() throws Exception {
+        try (Fixture fixture = new Fixture(1);
+                SighupReload reload = new SighupReload(fixture);
+                Peer.Listener newService = new Peer.Listener()) {
+            fixture.watch();
+            reload.moveDiscovery(newService.address());
             for (int i = 0; i < 3; i++) {
-                moved.next().close();
+                newService.next().close();
             }
-            begun(moved);
+            acceptWatch(newService);
         }
     }
 
     @Test
-    void aBadConfigurationChangesNothingAndTheNextGoodOneIsTaken() throws Exception {
-        try (Fixture f = new Fixture(1);
-                Hup hup = new Hup(f);
-                Peer.Listener moved = new Peer.Listener()) {
-            Peer old = f.watch();
-            hup.configuration("{\"discovery\":");
-            hup.discovery("nowhere:1");
-            Fixture.chunk(old, Fixture.list(2, true, f.entry(0, "SERVING")));
-            serve(f, f.client(), "a1", 0, null);
-            hup.discovery(moved.address());
-            begun(moved);
+    void ignoresInvalidConfigurationAndAppliesNextValidOne() throws Exception {
+        try (Fixture fixture = new Fixture(1);
+                SighupReload reload = new SighupReload(fixture);
+                Peer.Listener newService = new Peer.Listener()) {
+            Peer oldWatch = fixture.watch();
+            reload.loadConfiguration("{\"discovery\":");
+            reload.moveDiscovery("nowhere:1");
+            Fixture.chunk(oldWatch, Fixture.list(2, true, fixture.entry(0, "SERVING")));
+            serve(fixture, fixture.client(), "a1", 0, null);
+            reload.moveDiscovery(newService.address());
+            acceptWatch(newService);
         }
     }
 
-    /** Danger: changes alone behind a whole list that could not be read make the proxy forget all other nodes. */
+    /**
+     * If the full list of a new service is malformed, the changes after it must not be accepted in its place: the proxy
+     * would lose all other nodes.
+     */
     @Test
-    void aNewServiceWhoseWholeListCannotBeReadIsAskedForItAgain() throws Exception {
-        try (Fixture f = new Fixture(1);
-                Hup hup = new Hup(f);
-                Peer.Listener moved = new Peer.Listener()) {
-            f.nodes.add(new Peer.Listener());
-            f.watch();
-            hup.discovery(moved.address());
+    void requestsFullListAgainIfFirstOfNewServiceIsMalformed() throws Exception {
+        try (Fixture fixture = new Fixture(1);
+                SighupReload reload = new SighupReload(fixture);
+                Peer.Listener newService = new Peer.Listener()) {
+            fixture.nodes.add(new Peer.Listener());
+            fixture.watch();
+            reload.moveDiscovery(newService.address());
             Fixture.chunk(
-                    begun(moved),
-                    Fixture.list(900, true, f.entry(0, "ODD")),
-                    Fixture.list(901, false, f.entry(1, "SERVING")));
-            Fixture.chunk(begun(moved), Fixture.list(902, true, f.entry(1, "SERVING")));
-            serve(f, f.client(), "a1", 1, null);
+                    acceptWatch(newService),
+                    Fixture.list(900, true, fixture.entry(0, "ODD")),
+                    Fixture.list(901, false, fixture.entry(1, "SERVING")));
+            Fixture.chunk(acceptWatch(newService), Fixture.list(902, true, fixture.entry(1, "SERVING")));
+            serve(fixture, fixture.client(), "a1", 1, null);
         }
     }
 }
--- a/proxy/src/test/java/cacheproxy/server/StartOrderTest.java
+++ b/proxy/src/test/java/cacheproxy/server/StartOrderTest.java
@@ -7,63 +7,72 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** Danger: nothing older may be told after something newer: nodes that drain come back, or all are gone. */
+/**
+ * An older endpoint list must not replace a newer one, or draining nodes would come back and new nodes would be lost; and
+ * a proxy answers {@code mn}, by which the front end checks whether it is ready, only once it has a list to serve with.
+ */
 @Timeout(60)
 class StartOrderTest {
-    private static final String NOBODY = Fixture.list(1, true);
+    private static final String EMPTY_LIST = Fixture.list(1, true);
 
-    private static Fixture knowingNobody(int nodes) throws Exception {
-        return new Fixture(nodes, s -> s, 1024, f -> NOBODY);
+    private static Fixture withoutKnownNodes(int nodes) throws Exception {
+        return new Fixture(nodes, settings -> settings, 1024, created -> EMPTY_LIST);
     }
 
-    /** Asks for this many keys, of which each node that counts as serving has its part. */
-    private static int[] served(Fixture f, Arrivals at, String name, int keys) throws Exception {
-        int[] part = new int[f.nodes.size()];
-        Peer client = f.client();
+    /** Reads {@code keys} keys and returns the number of requests by node; each ready node receives a share. */
+    private static int[] requestsByNode(Fixture fixture, Arrivals arrivals, String idPrefix, int keys) throws Exception {
+        int[] requests = new int[fixture.nodes.size()];
+        Peer client = fixture.client();
         for (int i = 0; i < keys; i++) {
-            String id = name + i;
+            String id = idPrefix + i;
             client.send(Fixture.read(id, 4000).replace("7f3a9c21e0b4d655", id));
-            Peer node = at.next();
+            Peer node = arrivals.next();
             assertEquals("O" + id, Arrivals.command(node));
-            part[at.node(node)]++;
+            requests[arrivals.node(node)]++;
             node.send("VA 1 O" + id + "\r\n1\r\n");
             client.expect("VA 1 O" + id, "1");
         }
-        return part;
+        return requests;
     }
 
-    /** Danger: the warm-up takes longer than the first answer, and the empty list was told over the full one. */
+    /**
+     * The JIT warm-up takes longer than the first response of discovery: the empty list of the configuration was applied
+     * after the list of discovery and replaced it.
+     */
     @Test
-    void aListToldBeforeTheStartHasEndedIsNotLost() throws Exception {
+    void keepsListReceivedBeforeStartIsComplete() throws Exception {
         try (Peer.Listener discovery = new Peer.Listener();
                 Peer.Listener node = new Peer.Listener();
-                Child child = new Child.Start().with(discovery, NOBODY)) {
+                Child child = new Child.Start().with(discovery, EMPTY_LIST)) {
             Peer watch = Fixture.watch(discovery);
             Fixture.toldAndEnded(watch, Fixture.list(2, true, Fixture.entry(0, "SERVING", node)));
             Peer client = child.greeted();
             client.send(Fixture.read("a1", 4000));
-            child.until("to serve, not to be busy for ever", () -> node.count() > 0 || ready(client));
-            assertEquals(1, node.count(), () -> "refused though it was told of a node");
-            Peer at = node.next();
-            assertEquals("Oa1", Arrivals.command(at));
-            at.send("VA 1 Oa1\r\n1\r\n");
+            child.until("to serve instead of staying busy", () -> node.count() > 0 || hasInput(client));
+            assertEquals(1, node.count(), () -> "rejected although discovery has sent a node");
+            Peer connection = node.next();
+            assertEquals("Oa1", Arrivals.command(connection));
+            connection.send("VA 1 Oa1\r\n1\r\n");
             client.expect("VA 1 Oa1", "1");
         }
     }
 
-    private static boolean ready(Peer p) {
+    private static boolean hasInput(Peer peer) {
         try {
-            return p.ready();
+            return peer.ready();
         } catch (java.io.IOException e) {
             throw new AssertionError(e);
         }
     }
 
-    /** Danger: the list of the configuration has the node serving, and it gets work after it was told to drain. */
+    /**
+     * The list of the configuration has the node as ready. If it were applied after the list of discovery, the node would
+     * receive requests although it drains.
+     */
     @Test
-    void aNodeToldToDrainBeforeTheStartHasEndedGetsNothing() throws Exception {
+    void sendsNothingToNodeThatDrainsBeforeStartIsComplete() throws Exception {
         try (Peer.Listener discovery = new Peer.Listener();
-                Peer.Listener old = new Peer.Listener();
+                Peer.Listener drainingNode = new Peer.Listener();
                 Peer.Listener node = new Peer.Listener();
                 Child child = new Child.Start()
                         .with(
@@ -71,191 +80,194 @@
                                 Fixture.list(
                                         1,
                                         true,
-                                        Fixture.entry(0, "SERVING", old),
+                                        Fixture.entry(0, "SERVING", drainingNode),
                                         Fixture.entry(1, "SERVING", node)))) {
             Peer watch = Fixture.watch(discovery);
-            Fixture.toldAndEnded(watch, Fixture.list(2, false, Fixture.entry(0, "DRAINING", old)));
+            Fixture.toldAndEnded(watch, Fixture.list(2, false, Fixture.entry(0, "DRAINING", drainingNode)));
             Peer client = child.greeted();
-            Peer at = null;
-            for (int i = 0; i < 20; i++) { // half of these keys would be the first node's own
+            Peer connection = null;
+            for (int i = 0; i < 20; i++) { // the first node would receive half of these keys
                 client.send(Fixture.read("a" + i, 4000).replace("7f3a9c21e0b4d655", "a" + i));
-                Peer open = at;
-                child.until("to pass it on", () -> old.count() > 0 || (open == null ? node.count() > 0 : ready(open)));
-                assertEquals(0, old.count(), "work for a node that drains");
-                at = open == null ? node.next() : open;
-                assertEquals("Oa" + i, Arrivals.command(at));
-                at.send("VA 1 Oa" + i + "\r\n1\r\n");
+                Peer openConnection = connection;
+                child.until("to forward the request", () -> drainingNode.count() > 0 || (openConnection == null ? node.count() > 0 : hasInput(openConnection)));
+                assertEquals(0, drainingNode.count(), "request sent to a draining node");
+                connection = openConnection == null ? node.next() : openConnection;
+                assertEquals("Oa" + i, Arrivals.command(connection));
+                connection.send("VA 1 Oa" + i + "\r\n1\r\n");
                 client.expect("VA 1 Oa" + i, "1");
             }
         }
     }
 
-    /** Danger: a replica of discovery that lags, or a line held up on its way, brings back what has gone. */
+    /** A lagging replica of discovery, or a delayed line, would bring back nodes that are gone. */
     @Test
-    void anOlderVersionOnTheSameWatchIsNotTaken() throws Exception {
-        try (Fixture f = new Fixture(2)) {
+    void rejectsOlderFullListOnSameWatch() throws Exception {
+        try (Fixture fixture = new Fixture(2)) {
             Fixture.toldAndEnded(
-                    f.watch(),
-                    Fixture.list(5, true, f.entry(1, "SERVING")),
-                    Fixture.list(4, true, f.entry(0, "SERVING"), f.entry(1, "SERVING")));
-            assertEquals(0, served(f, new Arrivals(f), "a", 20)[0], "a node that is gone came back");
+                    fixture.watch(),
+                    Fixture.list(5, true, fixture.entry(1, "SERVING")),
+                    Fixture.list(4, true, fixture.entry(0, "SERVING"), fixture.entry(1, "SERVING")));
+            assertEquals(0, requestsByNode(fixture, new Arrivals(fixture), "a", 20)[0], "request sent to a node that is gone");
         }
     }
 
     @Test
-    void anOlderChangeOnTheSameWatchIsNotTaken() throws Exception {
-        try (Fixture f = new Fixture(2)) {
+    void rejectsOlderChangesOnSameWatch() throws Exception {
+        try (Fixture fixture = new Fixture(2)) {
             Fixture.toldAndEnded(
-                    f.watch(),
-                    Fixture.list(5, false, f.entry(0, "DRAINING")),
-                    Fixture.list(4, false, f.entry(0, "SERVING")));
-            assertEquals(0, served(f, new Arrivals(f), "a", 20)[0], "a node that drains came back");
+                    fixture.watch(),
+                    Fixture.list(5, false, fixture.entry(0, "DRAINING")),
+                    Fixture.list(4, false, fixture.entry(0, "SERVING")));
+            assertEquals(0, requestsByNode(fixture, new Arrivals(fixture), "a", 20)[0], "request sent to a draining node");
         }
     }
 
-    /** The list of the configuration has a version too: what the service says of before is older than that. */
+    /** The list of the configuration has a version too, which a list of discovery must not fall below. */
     @Test
-    void aVersionOlderThanTheKnownListIsNotTaken() throws Exception {
-        try (Fixture f = new Fixture(
-                2, s -> s, 1024, x -> Fixture.list(7, true, x.entry(0, "DRAINING"), x.entry(1, "SERVING")))) {
-            Fixture.toldAndEnded(f.watch(), Fixture.list(6, true, f.entry(0, "SERVING"), f.entry(1, "SERVING")));
-            assertEquals(0, served(f, new Arrivals(f), "a", 20)[0], "a node that drains came back");
+    void rejectsListOlderThanKnownList() throws Exception {
+        try (Fixture fixture = new Fixture(
+                2, settings -> settings, 1024, created -> Fixture.list(7, true, created.entry(0, "DRAINING"), created.entry(1, "SERVING")))) {
+            Fixture.toldAndEnded(fixture.watch(), Fixture.list(6, true, fixture.entry(0, "SERVING"), fixture.entry(1, "SERVING")));
+            assertEquals(0, requestsByNode(fixture, new Arrivals(fixture), "a", 20)[0], "request sent to a draining node");
         }
     }
 
-    /** Danger: a service that has lost its count would else never be heard again, and drains be missed. */
+    /** Otherwise no list of a service that has lost its version count would be accepted again, and drains be missed. */
     @Test
-    void aServiceThatGoesOnSayingOlderVersionsHasBegunAnew() throws Exception {
-        try (Fixture f = new Fixture(2)) {
-            Arrivals at = new Arrivals(f);
-            Fixture.toldAndEnded(f.watch(), Fixture.list(50, true, f.entry(1, "SERVING")));
+    void acceptsOlderVersionsOnceServiceCountsAsRestarted() throws Exception {
+        try (Fixture fixture = new Fixture(2)) {
+            Arrivals arrivals = new Arrivals(fixture);
+            Fixture.toldAndEnded(fixture.watch(), Fixture.list(50, true, fixture.entry(1, "SERVING")));
             for (int call = 1; call <= 2; call++) {
-                Peer watch = nextCall(f);
+                Peer watch = nextCall(fixture);
                 assertEquals("GET /registry/instances?stream=1&index=50 HTTP/1.1", watch.line());
-                answer(watch);
-                Fixture.toldAndEnded(watch, Fixture.list(call, true, f.entry(0, "SERVING")));
-                assertEquals(0, served(f, at, "a" + call, 5)[0], "followed after " + call + " calls");
+                startResponse(watch);
+                Fixture.toldAndEnded(watch, Fixture.list(call, true, fixture.entry(0, "SERVING")));
+                assertEquals(0, requestsByNode(fixture, arrivals, "a" + call, 5)[0], "older list accepted after " + call + " calls");
             }
-            int[] part = {0, 0};
-            long start = System.nanoTime();
-            for (int call = 3; part[0] == 0; call++) {
-                assertTrue(System.nanoTime() - start < 20_000_000_000L, "never followed");
-                Peer watch = nextCall(f);
+            int[] requests = {0, 0};
+            long startNs = System.nanoTime();
+            for (int call = 3; requests[0] == 0; call++) {
+                assertTrue(System.nanoTime() - startNs < 20_000_000_000L, "older versions were never accepted");
+                Peer watch = nextCall(fixture);
                 watch.line();
-                answer(watch);
-                Fixture.toldAndEnded(watch, Fixture.list(call, true, f.entry(0, "SERVING")));
-                part = served(f, at, "a" + call, 5);
+                startResponse(watch);
+                Fixture.toldAndEnded(watch, Fixture.list(call, true, fixture.entry(0, "SERVING")));
+                requests = requestsByNode(fixture, arrivals, "a" + call, 5);
             }
-            assertTrue(System.nanoTime() - start > 5_000_000_000L, "a replica that lags a little is followed");
-            assertEquals(5, part[0], "followed by halves");
+            assertTrue(System.nanoTime() - startNs > 5_000_000_000L, "the lists of a lagging replica were accepted");
+            assertEquals(5, requests[0], "only a part of the list was applied");
         }
     }
 
-    /** The module waits up to 12 s after three failures, longer than other tests wait for anything. */
-    private static Peer nextCall(Fixture f) throws Exception {
-        long end = System.nanoTime() + 20_000_000_000L;
-        Peer p = f.discovery.poll();
-        for (; p == null; p = f.discovery.poll()) {
-            assertTrue(System.nanoTime() < end, "not asked again");
+    /** Waits for the next call: the router waits up to 12 s after three failures, longer than other tests wait. */
+    private static Peer nextCall(Fixture fixture) throws Exception {
+        long deadlineNs = System.nanoTime() + 20_000_000_000L;
+        Peer call = fixture.discovery.poll();
+        for (; call == null; call = fixture.discovery.poll()) {
+            assertTrue(System.nanoTime() < deadlineNs, "discovery was not called again");
             Thread.sleep(1);
         }
-        return p;
+        return call;
     }
 
-    private static void answer(Peer call) throws Exception {
+    private static void startResponse(Peer call) throws Exception {
         while (!call.line().isEmpty()) {
-            // the rest of the call
+            // the rest of the request
         }
         call.send("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
     }
 
-    /** Two requests in turn on another connection: what came before the second has been dealt with. */
-    private static void noNode(Fixture f, String id) throws Exception {
-        Peer other = f.client();
+    /**
+     * Sends two requests in turn on another connection, which must be rejected for lack of a node. All that the proxy
+     * received before the second one has been handled then.
+     */
+    private static void expectNoNode(Fixture fixture, String id) throws Exception {
+        Peer otherClient = fixture.client();
         for (int i = 0; i < 2; i++) {
-            other.send(Fixture.read(id + i, 4000));
-            assertTrue(other.line().startsWith("SERVER_ERROR busy"), "it has no node");
+            otherClient.send(Fixture.read(id + i, 4000));
+            assertTrue(otherClient.line().startsWith("SERVER_ERROR busy"), "the proxy has no node");
         }
     }
 
-    /** Danger: the front sends it clients once it has said MN, and without a node it refuses them all. */
+    /** The front end sends clients to a proxy that answers MN; without a node it would reject all their requests. */
     @Test
-    void aGreetingIsAnsweredOnceThereIsANodeToServeWith() throws Exception {
-        try (Fixture f = knowingNobody(1)) {
-            Peer front = f.client();
-            front.send("mn\r\n");
-            noNode(f, "a");
-            assertFalse(front.ready(), "MN before it can serve");
-            Peer watch = f.watch();
-            Fixture.chunk(watch, Fixture.list(2, true, f.entry(0, "DRAINING")), "");
-            noNode(f, "b");
-            assertFalse(front.ready(), "MN before it can serve");
-            Fixture.chunk(watch, Fixture.list(3, true, f.entry(0, "SERVING")));
-            front.expect("MN");
-            front.send("mn\r\n" + Fixture.read("c1", 4000));
-            front.expect("MN");
-            assertEquals("Oc1", Arrivals.command(f.nodes.get(0).next()));
+    void answersMnOnceThereIsReadyNode() throws Exception {
+        try (Fixture fixture = withoutKnownNodes(1)) {
+            Peer frontEnd = fixture.client();
+            frontEnd.send("mn\r\n");
+            expectNoNode(fixture, "a");
+            assertFalse(frontEnd.ready(), "MN before there is a ready node");
+            Peer watch = fixture.watch();
+            Fixture.chunk(watch, Fixture.list(2, true, fixture.entry(0, "DRAINING")), "");
+            expectNoNode(fixture, "b");
+            assertFalse(frontEnd.ready(), "MN before there is a ready node");
+            Fixture.chunk(watch, Fixture.list(3, true, fixture.entry(0, "SERVING")));
+            frontEnd.expect("MN");
+            frontEnd.send("mn\r\n" + Fixture.read("c1", 4000));
+            frontEnd.expect("MN");
+            assertEquals("Oc1", Arrivals.command(fixture.nodes.get(0).next()));
         }
     }
 
-    /** Danger: where discovery is down for long, no proxy would ever count as there. */
+    /** While discovery is down, proxies without a known node would never count as ready. */
     @Test
-    void aGreetingIsNotHeldForEver() throws Exception {
-        long start = System.nanoTime();
-        try (Fixture f = knowingNobody(1)) {
-            Peer front = f.client();
-            front.send("mn\r\n" + Fixture.read("a1", 4000) + "mn\r\n");
-            front.expect("MN");
-            assertTrue(System.nanoTime() - start > 1_500_000_000L, "held for a part of the start");
-            assertTrue(front.line().startsWith("SERVER_ERROR busy"), "answers keep their order");
-            front.expect("MN");
-            front.send("mn\r\n");
-            front.expect("MN");
+    void answersMnAfterTimeoutWithoutReadyNode() throws Exception {
+        long startNs = System.nanoTime();
+        try (Fixture fixture = withoutKnownNodes(1)) {
+            Peer frontEnd = fixture.client();
+            frontEnd.send("mn\r\n" + Fixture.read("a1", 4000) + "mn\r\n");
+            frontEnd.expect("MN");
+            assertTrue(System.nanoTime() - startNs > 1_500_000_000L, "answered before the timeout");
+            assertTrue(frontEnd.line().startsWith("SERVER_ERROR busy"), "responses are sent in the order of the requests");
+            frontEnd.expect("MN");
+            frontEnd.send("mn\r\n");
+            frontEnd.expect("MN");
         }
     }
 
     /**
-     * Danger: what discovery has told others while this process was down counts as told to it too, and a client let in
-     * on the configuration's list was sent to a node that had left (incident 33).
+     * Changes of the list while this process was down count as notified to it too: a client that was served by the list
+     * of the configuration was sent to a node that was gone (incident 33).
      */
     @Test
-    void aGreetingWithAKnownNodeWaitsForTheFirstList() throws Exception {
-        try (Fixture f = Fixture.waitingForTheFirstList(1)) {
-            Peer front = f.client();
-            front.send("mn\r\n");
-            Peer watch = f.watch();
+    void holdsMnUntilFirstListDespiteKnownNode() throws Exception {
+        try (Fixture fixture = Fixture.waitingForTheFirstList(1)) {
+            Peer frontEnd = fixture.client();
+            frontEnd.send("mn\r\n");
+            Peer watch = fixture.watch();
             Fixture.chunk(watch, "");
-            try (Peer barrier = Peer.to(f.proxy.address())) {
+            try (Peer barrier = Peer.to(fixture.proxy.address())) {
                 barrier.send("nonsense\r\n");
                 assertTrue(barrier.line().contains("ERROR"));
             }
-            assertFalse(front.ready(), "MN before discovery has told its list");
+            assertFalse(frontEnd.ready(), "MN before discovery has sent a list");
             Fixture.chunk(watch, Fixture.list(1, false));
-            front.expect("MN");
+            frontEnd.expect("MN");
         }
     }
 
-    /** Danger: where discovery is down, a start that waited for it would take a fleet out of service. */
+    /** While discovery is down, proxies that waited for it during their start would take the fleet out of service. */
     @Test
-    void aGreetingWithAKnownNodeIsNotHeldWhereDiscoveryTakesNoConnection() throws Exception {
-        long start = System.nanoTime();
-        try (Fixture f = Fixture.waitingForTheFirstList(1)) {
-            f.discovery.close();
-            Peer front = f.client();
-            front.send("mn\r\n");
-            front.expect("MN");
-            long heldUs = (System.nanoTime() - start) / 1000;
+    void answersMnFromKnownListIfDiscoveryRefusesConnections() throws Exception {
+        long startNs = System.nanoTime();
+        try (Fixture fixture = Fixture.waitingForTheFirstList(1)) {
+            fixture.discovery.close();
+            Peer frontEnd = fixture.client();
+            frontEnd.send("mn\r\n");
+            frontEnd.expect("MN");
+            long heldUs = (System.nanoTime() - startNs) / 1000;
             assertTrue(heldUs < ProxyServer.READINESS_TIMEOUT_US, "held for " + heldUs + " us");
         }
     }
 
-    /** Danger: where discovery hangs, the same. */
+    /** While discovery accepts connections but never responds, the same applies. */
     @Test
-    void aGreetingWithAKnownNodeIsNotHeldForEverWhereDiscoverySaysNothing() throws Exception {
-        try (Fixture f = Fixture.waitingForTheFirstList(1)) {
-            Peer front = f.client();
-            front.send("mn\r\n");
-            front.expect("MN");
+    void answersMnFromKnownListAfterTimeoutIfDiscoveryIsSilent() throws Exception {
+        try (Fixture fixture = Fixture.waitingForTheFirstList(1)) {
+            Peer frontEnd = fixture.client();
+            frontEnd.send("mn\r\n");
+            frontEnd.expect("MN");
         }
     }
 }
