--- a/proxy/src/test/java/cacheproxy/server/AnsweringDiscovery.java
+++ b/proxy/src/test/java/cacheproxy/server/AnsweringDiscovery.java
@@ -27,11 +27,11 @@
     }
 
     /** Rejects the next {@code calls} calls with 503. */
-    void turnsAway(int calls) {
+    void rejectNextCalls(int calls) {
         callsToReject.set(calls);
     }
 
-    int turnedAway() {
+    int rejectedCalls() {
         return rejectedCalls.get();
     }
 
--- a/proxy/src/test/java/cacheproxy/server/Child.java
+++ b/proxy/src/test/java/cacheproxy/server/Child.java
@@ -25,32 +25,32 @@
 import java.util.zip.ZipEntry;
 import java.util.zip.ZipOutputStream;
 
-/** The real program in a process of its own, with its standard error read line by line. */
+/** The proxy in a process of its own, with its standard error read line by line. */
 final class Child implements Closeable {
-    private static final long WAIT_NS = 20_000_000_000L;
+    private static final long MAX_WAIT_NS = 20_000_000_000L;
 
     final Process process;
     final InetSocketAddress address;
-    /** What it has said on standard error. */
+    /** The lines that the process has written to standard error. */
     final List<String> said = new CopyOnWriteArrayList<>();
 
     final Path config;
-    private final Path classes;
-    /** Null where nobody reads it. */
-    private final Thread reader;
+    private final Path classLoadingLog;
+    /** The thread that reads standard error; null if it is left unread. */
+    private final Thread errorReader;
 
     private final List<Peer> clients = new ArrayList<>();
 
-    /** How to start it, each with a default. */
+    /** The options of the start, each with a default. */
     static final class Start {
-        /** A shell's commands before the program takes the shell's place, so that they have one process id. */
+        /** Shell commands that run first; the program then replaces the shell, so that the process id is the same. */
         String before = ":";
 
         String settings = Fixture.SETTINGS;
         int sockets = 1024;
         boolean unread;
         int port;
-        /** Variables besides those that every start needs. */
+        /** Environment variables besides those that every start needs. */
         Map<String, String> env = Map.of();
 
         String[] program = {"cacheproxy.app.Main", "serve"};
@@ -61,8 +61,8 @@
     }
 
     /**
-     * The program as it ships, in a jar that is open from the start: out of a folder each class is read when it is
-     * first used, which fails where descriptors are short.
+     * The program in a jar, as it is shipped. The JVM keeps a jar open from the start, while from a directory it opens
+     * the file of each class on first use, which fails if no file descriptor is free.
      */
     private static final class Jar {
         static final Path FILE = jar();
@@ -77,10 +77,10 @@
                 Path file = Files.createTempFile("classes", ".jar");
                 file.toFile().deleteOnExit();
                 try (ZipOutputStream out = new ZipOutputStream(Files.newOutputStream(file));
-                        Stream<Path> all = Files.walk(classes)) {
-                    for (Path p : all.filter(Files::isRegularFile).toList()) {
-                        out.putNextEntry(new ZipEntry(classes.relativize(p).toString()));
-                        Files.copy(p, out);
+                        Stream<Path> paths = Files.walk(classes)) {
+                    for (Path path : paths.filter(Files::isRegularFile).toList()) {
+                        out.putNextEntry(new ZipEntry(classes.relativize(path).toString()));
+                        Files.copy(path, out);
                     }
                 }
                 return file;
@@ -90,55 +90,55 @@
         }
     }
 
-    private Child(Start how, Peer.Listener discovery, String known) throws IOException {
-        int port = how.port != 0 ? how.port : freePort();
+    private Child(Start options, Peer.Listener discovery, String known) throws IOException {
+        int port = options.port != 0 ? options.port : freePort();
         address = new InetSocketAddress(InetAddress.getLoopbackAddress(), port);
         config = Files.createTempFile("config", ".json");
-        classes = Files.createTempFile("classes", ".log");
-        Files.writeString(config, Fixture.json(known, how.settings, how.sockets));
-        ProcessBuilder b = new ProcessBuilder(
+        classLoadingLog = Files.createTempFile("classes", ".log");
+        Files.writeString(config, Fixture.json(known, options.settings, options.sockets));
+        ProcessBuilder builder = new ProcessBuilder(
                 "sh",
                 "-c",
-                how.before + "; exec \"$@\"",
+                options.before + "; exec \"$@\"",
                 "sh",
                 Path.of(System.getProperty("java.home"), "bin", "java").toString(),
                 "-XX:TieredStopAtLevel=1",
                 "-XX:+UseSerialGC",
-                "-Xlog:class+load:file=" + classes + "::filecount=0",
+                "-Xlog:class+load:file=" + classLoadingLog + "::filecount=0",
                 "-cp",
                 Jar.FILE + File.pathSeparator + System.getProperty("java.class.path"));
-        b.command().addAll(List.of(how.program));
-        b.environment().putAll(Fixture.env(config, discovery.address()));
-        b.environment().put("LB_LISTEN", "127.0.0.1:" + port);
-        b.environment().putAll(how.env);
-        b.redirectOutput(ProcessBuilder.Redirect.DISCARD);
-        process = b.start();
-        if (how.unread) {
-            reader = null;
+        builder.command().addAll(List.of(options.program));
+        builder.environment().putAll(Fixture.env(config, discovery.address()));
+        builder.environment().put("LB_LISTEN", "127.0.0.1:" + port);
+        builder.environment().putAll(options.env);
+        builder.redirectOutput(ProcessBuilder.Redirect.DISCARD);
+        process = builder.start();
+        if (options.unread) {
+            errorReader = null;
         } else {
-            reader = new Thread(this::read, "child");
-            reader.setDaemon(true);
-            reader.start();
+            errorReader = new Thread(this::readErrorOutput, "child");
+            errorReader.setDaemon(true);
+            errorReader.start();
         }
     }
 
     /**
-     * Below those that the system deals out to clients: one of these, connecting again and again to a port on which
-     * nobody listens yet, is at some time given that port itself and then talks to itself.
+     * Picks a free port below the range that the system assigns to clients: a client that repeatedly connects to a port
+     * in that range, on which nobody listens yet, is eventually assigned the same port and connects to itself.
      */
     private static int freePort() throws IOException {
-        for (int i = 0; i < 100; i++) {
+        for (int attempt = 0; attempt < 100; attempt++) {
             int port = ThreadLocalRandom.current().nextInt(10_000, 20_000);
-            try (ServerSocket free = new ServerSocket(port, 1, InetAddress.getLoopbackAddress())) {
-                return free.getLocalPort();
+            try (ServerSocket socket = new ServerSocket(port, 1, InetAddress.getLoopbackAddress())) {
+                return socket.getLocalPort();
             } catch (BindException e) {
-                // somebody has it
+                // the port is in use
             }
         }
         throw new IOException("no free port");
     }
 
-    private void read() {
+    private void readErrorOutput() {
         try (BufferedReader in =
                 new BufferedReader(new InputStreamReader(process.getErrorStream(), StandardCharsets.UTF_8))) {
             for (String line = in.readLine(); line != null; line = in.readLine()) {
@@ -149,45 +149,46 @@
         }
     }
 
-    /** Waits for something that the process does; a process that has ended does nothing more. */
+    /** Waits for {@code done}; fails if the process has exited, because it would never become true. */
     void until(String what, BooleanSupplier done) throws InterruptedException {
-        for (long end = System.nanoTime() + WAIT_NS; !done.getAsBoolean(); Thread.sleep(1)) {
+        for (long deadlineNs = System.nanoTime() + MAX_WAIT_NS; !done.getAsBoolean(); Thread.sleep(1)) {
             if (!process.isAlive()) {
-                throw new AssertionError(what + ": the process has ended with " + process.exitValue() + ": " + said);
+                throw new AssertionError(what + ": the process has exited with " + process.exitValue()
+                        + "; standard error: " + said);
             }
-            if (System.nanoTime() > end) {
-                throw new AssertionError(what + ": not seen; said was " + said);
+            if (System.nanoTime() > deadlineNs) {
+                throw new AssertionError(what + ": did not happen; standard error: " + said);
             }
         }
     }
 
-    /** Waits for a line on standard error that holds this text, the first in the given place or after it. */
+    /** Waits for a line on standard error that contains the text, at index {@code from} or later. */
     void says(int from, String text) throws InterruptedException {
-        until("to say '" + text + "'", () -> said.stream().skip(from).anyMatch(l -> l.contains(text)));
+        until("to write '" + text + "'", () -> said.stream().skip(from).anyMatch(line -> line.contains(text)));
     }
 
-    /** For one that has ended: what it said last may still be on its way. */
+    /** Fails unless a line contains the text; if the process has exited, its last lines are read first. */
     void hasSaid(String text) throws InterruptedException {
-        if (reader != null && !process.isAlive()) {
-            reader.join();
+        if (errorReader != null && !process.isAlive()) {
+            errorReader.join();
         }
-        if (said.stream().noneMatch(l -> l.contains(text))) {
-            throw new AssertionError("'" + text + "' is not said; said was " + said);
+        if (said.stream().noneMatch(line -> line.contains(text))) {
+            throw new AssertionError("'" + text + "' was not written; standard error: " + said);
         }
     }
 
     /**
-     * Waits until the process has taken this class into use: a sign of how far its start has come that costs the
-     * program itself nothing. The JVM handles signals by itself from long before the first of our classes.
+     * Waits until the process has loaded a class, which shows how far its start has come and needs no support in the
+     * program. The JVM handles signals long before it loads the first class of the proxy.
      */
     void loads(String name) throws InterruptedException {
         until("to load " + name, () -> classes().contains(" " + name + " source:"));
     }
 
-    /** What it has said of the classes it has loaded. */
+    /** The JVM's log of the loaded classes. */
     String classes() {
         try {
-            return Files.readString(classes, StandardCharsets.ISO_8859_1);
+            return Files.readString(classLoadingLog, StandardCharsets.ISO_8859_1);
         } catch (IOException e) {
             return "";
         }
@@ -199,7 +200,7 @@
                 .waitFor();
     }
 
-    /** A connection to it, once it listens. */
+    /** Connects to the proxy once it listens. */
     Peer client() throws IOException, InterruptedException {
         Peer[] client = new Peer[1];
         until("to listen", () -> {
@@ -216,7 +217,7 @@
         return client[0];
     }
 
-    /** A connection to it once it is ready to serve. */
+    /** Connects to the proxy and waits until it is ready. */
     Peer greeted() throws IOException, InterruptedException {
         Peer client = client();
         client.send("mn\r\n");
@@ -224,13 +225,13 @@
         return client;
     }
 
-    /** The code with which it ends within this time; all that it said is then read. */
+    /** Waits for the process to exit and returns the exit code; all lines that it wrote have been read then. */
     int ends(int seconds) throws InterruptedException {
         if (!process.waitFor(seconds, TimeUnit.SECONDS)) {
-            throw new AssertionError("still runs after " + seconds + " s; said was " + said);
+            throw new AssertionError("still runs after " + seconds + " s; standard error: " + said);
         }
-        if (reader != null) {
-            reader.join(TimeUnit.NANOSECONDS.toMillis(WAIT_NS));
+        if (errorReader != null) {
+            errorReader.join(TimeUnit.NANOSECONDS.toMillis(MAX_WAIT_NS));
         }
         return process.exitValue();
     }
@@ -238,10 +239,10 @@
     @Override
     public void close() throws IOException {
         process.destroyForcibly();
-        for (Peer p : clients) {
-            p.close();
+        for (Peer client : clients) {
+            client.close();
         }
         Files.deleteIfExists(config);
-        Files.deleteIfExists(classes);
+        Files.deleteIfExists(classLoadingLog);
     }
 }
--- a/proxy/src/test/java/cacheproxy/server/JitWarmUpTest.java
+++ b/proxy/src/test/java/cacheproxy/server/JitWarmUpTest.java
@@ -12,112 +12,120 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** Danger: a start that hangs in its warm-up, runs none of it, or lets some of it reach the real world. */
+/** The JIT warm-up before the start must end, must run its requests, and must not reach real endpoints or discovery. */
 @Timeout(60)
 class JitWarmUpTest {
-    private static List<Path> folders() throws Exception {
-        try (Stream<Path> all = Files.list(Path.of(System.getProperty("java.io.tmpdir")))) {
-            return all.filter(f -> f.getFileName().toString().startsWith("cacheproxy"))
+    private static List<Path> temporaryDirectories() throws Exception {
+        try (Stream<Path> paths = Files.list(Path.of(System.getProperty("java.io.tmpdir")))) {
+            return paths.filter(path -> path.getFileName().toString().startsWith("cacheproxy"))
                     .toList();
         }
     }
 
     @Test
-    void aWholeProxyServesMadeUpRequestsOfAllClasses() throws Exception {
-        List<String> log = new ArrayList<>();
-        try (Fixture f = new Fixture(1)) {
-            int served = JitWarmUp.run(f.config, f.loop, new Log(System::nanoTime, log::add));
-            assertTrue(served > JitWarmUp.REQUESTS * 2 / 3, "served " + served + " " + log);
-            assertEquals(List.of(), log);
-            assertEquals(0, f.nodes.get(0).count(), "a real node was asked");
+    void servesGeneratedRequestsOfAllClasses() throws Exception {
+        List<String> logLines = new ArrayList<>();
+        try (Fixture fixture = new Fixture(1)) {
+            int served = JitWarmUp.run(fixture.config, fixture.loop, new Log(System::nanoTime, logLines::add));
+            assertTrue(served > JitWarmUp.REQUESTS * 2 / 3, "served " + served + " " + logLines);
+            assertEquals(List.of(), logLines);
+            assertEquals(0, fixture.nodes.get(0).count(), "a request reached a real node");
         }
     }
 
     @Test
-    void theProxyItselfKnowsNothingOfIt() throws Exception {
-        try (Fixture f = new Fixture(1)) {
-            JitWarmUp.run(f.config, f.loop, Fixture.log());
-            Peer client = f.client();
+    void leavesNoStateInProxy() throws Exception {
+        try (Fixture fixture = new Fixture(1)) {
+            JitWarmUp.run(fixture.config, fixture.loop, Fixture.log());
+            Peer client = fixture.client();
             client.send(Fixture.read("a1", 4000));
-            Peer node = f.nodes.get(0).next();
+            Peer node = fixture.nodes.get(0).next();
             assertTrue(node.line().contains(" Oa1 "));
             node.send("VA 1 Oa1\r\n1\r\n");
             client.expect("VA 1 Oa1", "1");
-            // on the loop: the answer is here before the turn that wrote it is over
-            f.loop.submit(f.proxy::reserved).get().forEach((what, held) -> assertEquals(0, held, what));
+            // read on the event loop: the client may receive the response before the loop's current task has ended
+            fixture.loop
+                    .submit(fixture.proxy::reserved)
+                    .get()
+                    .forEach((resource, reserved) -> assertEquals(0, reserved, resource));
         }
     }
 
-    /** Whatever the settings: a class that is refused or unknown to it must not hold the start. */
+    /** Whatever the settings are, a request class that is rejected or unknown must not delay the start. */
     @Test
-    void itEndsWhereNothingCanBeServed() throws Exception {
-        try (Fixture f = new Fixture(
+    void endsIfNoRequestCanBeServed() throws Exception {
+        try (Fixture fixture = new Fixture(
                 1,
-                s -> s.replace("\"deadlineMs\":5000.0", "\"deadlineMs\":1.0")
+                settings -> settings.replace("\"deadlineMs\":5000.0", "\"deadlineMs\":1.0")
                         .replace("\"targetMs\":750.0", "\"targetMs\":1.0"),
                 1024)) {
-            JitWarmUp.run(f.config, f.loop, Fixture.log());
-            f.client().send("mn\r\n");
+            JitWarmUp.run(fixture.config, fixture.loop, Fixture.log());
+            fixture.client().send("mn\r\n");
         }
     }
 
-    /** Danger: what it asked was turned away and it took its whole 2 s, where a name holds a comma or a space. */
+    /** With a comma or a space in a name, all requests of the warm-up were rejected and it took its full 2 s. */
     @Test
-    void namesThatNoCommandCanHoldAreLeftOut() throws Exception {
+    void skipsNamesThatNoCommandCanContain() throws Exception {
         for (String name : new String[] {"look,up", "look up", ""}) {
-            List<String> log = new ArrayList<>();
-            try (Fixture f = new Fixture(1, s -> s.replace("\"lookup\"", "\"" + name + "\""), 1024)) {
-                int served = JitWarmUp.run(f.config, f.loop, new Log(System::nanoTime, log::add));
-                assertTrue(served > JitWarmUp.REQUESTS * 2 / 3, "served " + served + " " + log);
-                assertEquals(List.of(), log);
+            List<String> logLines = new ArrayList<>();
+            try (Fixture fixture =
+                    new Fixture(1, settings -> settings.replace("\"lookup\"", "\"" + name + "\""), 1024)) {
+                int served = JitWarmUp.run(fixture.config, fixture.loop, new Log(System::nanoTime, logLines::add));
+                assertTrue(served > JitWarmUp.REQUESTS * 2 / 3, "served " + served + " " + logLines);
+                assertEquals(List.of(), logLines);
             }
         }
     }
 
     @Test
-    void whereNobodyCanBeNamedItSaysSo() throws Exception {
-        List<String> log = new ArrayList<>();
-        try (Fixture f = new Fixture(1, s -> s.replace("\"acme\"", "\"acme, inc\""), 1024)) {
-            assertEquals(0, JitWarmUp.run(f.config, f.loop, new Log(System::nanoTime, log::add)));
-            assertTrue(log.size() == 1 && log.get(0).contains("a name that a command can hold"), log.toString());
+    void logsIfNoNameCanBeUsedInCommand() throws Exception {
+        List<String> logLines = new ArrayList<>();
+        try (Fixture fixture = new Fixture(1, settings -> settings.replace("\"acme\"", "\"acme, inc\""), 1024)) {
+            assertEquals(0, JitWarmUp.run(fixture.config, fixture.loop, new Log(System::nanoTime, logLines::add)));
+            assertTrue(
+                    logLines.size() == 1 && logLines.get(0).contains("a name that a command can hold"),
+                    logLines.toString());
         }
     }
 
     @Test
-    void namesBeyondAsciiAreKnown() throws Exception {
-        List<String> log = new ArrayList<>();
-        try (Fixture f =
-                new Fixture(1, s -> s.replace("\"lookup\"", "\"búsqueda\"").replace("\"acme\"", "\"コート\""), 1024)) {
-            int served = JitWarmUp.run(f.config, f.loop, new Log(System::nanoTime, log::add));
-            assertTrue(served > JitWarmUp.REQUESTS * 2 / 3, "served " + served + " " + log);
-            String line = Fixture.read("a1", 4000).replace("lookup", "búsqueda").replace("acme", "コート");
-            byte[] utf8 = line.getBytes(java.nio.charset.StandardCharsets.UTF_8);
-            Peer client = f.client();
-            client.socket.getOutputStream().write(utf8);
-            Peer node = f.nodes.get(0).next();
-            String sent = new String(
+    void acceptsNonAsciiNames() throws Exception {
+        List<String> logLines = new ArrayList<>();
+        try (Fixture fixture = new Fixture(
+                1,
+                settings -> settings.replace("\"lookup\"", "\"búsqueda\"").replace("\"acme\"", "\"コート\""),
+                1024)) {
+            int served = JitWarmUp.run(fixture.config, fixture.loop, new Log(System::nanoTime, logLines::add));
+            assertTrue(served > JitWarmUp.REQUESTS * 2 / 3, "served " + served + " " + logLines);
+            String request = Fixture.read("a1", 4000).replace("lookup", "búsqueda").replace("acme", "コート");
+            byte[] requestBytes = request.getBytes(java.nio.charset.StandardCharsets.UTF_8);
+            Peer client = fixture.client();
+            client.socket.getOutputStream().write(requestBytes);
+            Peer node = fixture.nodes.get(0).next();
+            String forwarded = new String(
                     node.line().getBytes(java.nio.charset.StandardCharsets.ISO_8859_1),
                     java.nio.charset.StandardCharsets.UTF_8);
-            assertTrue(sent.contains(" Oa1 Pc=búsqueda,t=コート,d="), sent);
+            assertTrue(forwarded.contains(" Oa1 Pc=búsqueda,t=コート,d="), forwarded);
             node.send("VA 1 Oa1\r\n1\r\n");
             client.expect("VA 1 Oa1", "1");
         }
     }
 
-    /** Danger: a proxy that is restarted often fills the folder of temporary files, which counts as memory. */
+    /** Otherwise frequent restarts would fill the directory of temporary files, which may be kept in memory. */
     @Test
-    void nothingIsLeftOfIt() throws Exception {
-        try (Fixture f = new Fixture(1)) {
-            List<Path> before = folders();
-            JitWarmUp.run(f.config, f.loop, Fixture.log());
-            List<Path> left = new ArrayList<>(folders());
-            left.removeAll(before);
-            // its own: beside another run the folder of temporary files is shared
-            for (Path folder : left) {
-                try (Stream<Path> files = Files.list(folder)) {
+    void leavesNoTemporaryFiles() throws Exception {
+        try (Fixture fixture = new Fixture(1)) {
+            List<Path> directoriesBefore = temporaryDirectories();
+            JitWarmUp.run(fixture.config, fixture.loop, Fixture.log());
+            List<Path> leftDirectories = new ArrayList<>(temporaryDirectories());
+            leftDirectories.removeAll(directoriesBefore);
+            // other runs share the directory of temporary files: only look for files of the warm-up
+            for (Path directory : leftDirectories) {
+                try (Stream<Path> files = Files.list(directory)) {
                     assertEquals(
                             List.of(),
-                            files.filter(p -> p.getFileName().toString().length() == 1)
+                            files.filter(path -> path.getFileName().toString().length() == 1)
                                     .toList());
                 }
             }
--- a/proxy/src/test/java/cacheproxy/server/ProcessTest.java
+++ b/proxy/src/test/java/cacheproxy/server/ProcessTest.java
@@ -17,10 +17,10 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** The program as a process: its signals, its standard error, its descriptors and its exit code. */
+/** The proxy as a process: signals, standard error, file descriptors and exit codes. */
 @Timeout(90)
 class ProcessTest {
-    /** Fills the pipe of standard error through a descriptor of its own, so that only this end does not block. */
+    /** Fills the pipe of standard error, through a separate descriptor so that the proxy's own stays blocking. */
     private static final String FULL_PIPE = "exec 3>&2; "
             + "dd if=/dev/zero of=/proc/self/fd/3 bs=1024 count=4096 oflag=nonblock conv=notrunc 2> /dev/null; exec 3>&-";
 
@@ -39,50 +39,50 @@
         node.close();
     }
 
-    private Child started(Child.Start how) throws IOException {
-        return how.with(discovery, Fixture.list(1, true, Fixture.entry(0, "SERVING", node)));
+    private Child startProxy(Child.Start options) throws IOException {
+        return options.with(discovery, Fixture.list(1, true, Fixture.entry(0, "SERVING", node)));
     }
 
-    private Child started() throws IOException {
-        return started(new Child.Start());
+    private Child startProxy() throws IOException {
+        return startProxy(new Child.Start());
     }
 
-    /** Has it served on the connection to the node that is open or comes. */
-    private Peer served(Peer client, String id, Peer open) throws Exception {
+    /** Has a request served by the node, on {@code openConnection} or, if that is null, on a new connection. */
+    private Peer serve(Peer client, String id, Peer openConnection) throws Exception {
         client.send(Fixture.read(id, 4000));
-        Peer at = open != null ? open : node.next();
-        assertEquals("O" + id, Arrivals.command(at));
-        at.send("VA 1 O" + id + "\r\n1\r\n");
+        Peer connection = openConnection != null ? openConnection : node.next();
+        assertEquals("O" + id, Arrivals.command(connection));
+        connection.send("VA 1 O" + id + "\r\n1\r\n");
         client.expect("VA 1 O" + id, "1");
-        return at;
+        return connection;
     }
 
     // ---- standard error ----
 
-    private Child withFullPipe() throws IOException {
-        Child.Start how = new Child.Start();
-        how.before = FULL_PIPE;
-        how.unread = true;
-        return started(how);
+    private Child startWithFullPipe() throws IOException {
+        Child.Start options = new Child.Start();
+        options.before = FULL_PIPE;
+        options.unread = true;
+        return startProxy(options);
     }
 
-    /** Danger: whoever reads it has hung, and one line written on the loop stops every request. */
+    /** If the reader of standard error hangs, a line written on the event loop would block all requests. */
     @Test
-    void aFullPipeOnStandardErrorStopsNoRequest() throws Exception {
-        try (Child child = withFullPipe()) {
+    void servesRequestsWithFullPipeOnStandardError() throws Exception {
+        try (Child child = startWithFullPipe()) {
             Peer client = child.greeted();
             assertTrue(child.process.getErrorStream().available() >= 65_536, "the pipe is full");
-            Peer at = served(client, "a1", null);
-            discovery.next().close(); // which is said
-            discovery.next(); // it is asked again, so the line is behind
-            served(client, "a2", at);
+            Peer connection = serve(client, "a1", null);
+            discovery.next().close(); // this failure is logged
+            discovery.next(); // the next call, which is made after the line was logged
+            serve(client, "a2", connection);
         }
     }
 
-    /** Danger: the last line is written by what is to end the process, and SIGTERM hangs. */
+    /** SIGTERM would hang if the thread that ends the process blocked on writing the last line. */
     @Test
-    void withAFullPipeOnStandardErrorSigtermEndsIt() throws Exception {
-        try (Child child = withFullPipe()) {
+    void exitsOnSigtermWithFullPipeOnStandardError() throws Exception {
+        try (Child child = startWithFullPipe()) {
             child.greeted().close();
             assertTrue(child.process.getErrorStream().available() >= 65_536, "the pipe is full");
             child.signal("TERM");
@@ -90,31 +90,32 @@
         }
     }
 
-    // ---- the loop ----
+    // ---- the event loop ----
 
-    /** Danger: nothing is served any more, and the process stands there as if it were well, or ends with 0. */
+    /** A proxy whose event loop has terminated serves nothing; it must neither keep running nor exit with code 0. */
     @Test
-    void aLoopThatEndsByItselfEndsTheProcessWithACodeOfItsOwn() throws Exception {
-        Path alive = Files.createTempFile("alive", "");
-        Child.Start how = new Child.Start();
-        how.program = new String[] {"cacheproxy.server.DeadLoop", alive.toString()};
-        try (Child child = started(how)) {
-            served(child.greeted(), "a1", null);
-            Files.delete(alive);
+    void exitsWithCode70IfEventLoopTerminates() throws Exception {
+        Path aliveFile = Files.createTempFile("alive", "");
+        Child.Start options = new Child.Start();
+        options.program = new String[] {"cacheproxy.server.CrashingEventLoopMain", aliveFile.toString()};
+        try (Child child = startProxy(options)) {
+            serve(child.greeted(), "a1", null);
+            Files.delete(aliveFile);
             assertEquals(70, child.ends(10));
-            assertTrue(child.said.stream().anyMatch(l -> l.contains("the loop has ended")), child.said.toString());
+            assertTrue(
+                    child.said.stream().anyMatch(line -> line.contains("the loop has ended")), child.said.toString());
         }
     }
 
-    /** Danger: the drain is asked for on the loop and waited for without end. */
+    /** The drain runs on the event loop: waiting for it without a limit would never end if the loop hangs. */
     @Test
-    void sigtermEndsItThoughTheLoopHangs() throws Exception {
-        Path alive = Files.createTempFile("alive", "");
-        Child.Start how = new Child.Start();
-        how.program = new String[] {"cacheproxy.server.HungLoop", alive.toString()};
-        try (Child child = started(how)) {
+    void exitsOnSigtermIfEventLoopHangs() throws Exception {
+        Path aliveFile = Files.createTempFile("alive", "");
+        Child.Start options = new Child.Start();
+        options.program = new String[] {"cacheproxy.server.HangingEventLoopMain", aliveFile.toString()};
+        try (Child child = startProxy(options)) {
             child.greeted();
-            Files.delete(alive);
+            Files.delete(aliveFile);
             child.says(0, "hanging");
             child.signal("TERM");
             assertEquals(0, child.ends(12));
@@ -122,12 +123,15 @@
         }
     }
 
-    /** Danger: a logger made before ours opens files at its first line, and short of descriptors ends the loop. */
+    /**
+     * A logger that Netty creates before the proxy's factory is set opens files at its first line, which ends the event
+     * loop if no file descriptor is free.
+     */
     @Test
-    void theLoopsOwnWarningsGoIntoTheLog() throws Exception {
-        Child.Start how = new Child.Start();
-        how.program = new String[] {"cacheproxy.server.LoggerProbe"};
-        try (Child child = started(how)) {
+    void nettyLogsToLogOfProxy() throws Exception {
+        Child.Start options = new Child.Start();
+        options.program = new String[] {"cacheproxy.server.NettyLoggerProbe"};
+        try (Child child = startProxy(options)) {
             child.says(0, "LOGGER ");
             child.hasSaid("LOGGER cacheproxy.logging.NettyLoggerFactory");
         }
@@ -135,83 +139,83 @@
 
     // ---- starts that fail ----
 
-    /** Danger: one line written on a full pipe, and what cannot start never ends. */
+    /** A proxy that cannot start would never exit if it blocked on writing the reason. */
     @Test
-    void withAFullPipeOnStandardErrorAStartThatFailsEndsIt() throws Exception {
-        try (ServerSocket held = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
-            Child.Start how = new Child.Start();
-            how.port = held.getLocalPort();
-            how.before = FULL_PIPE;
-            how.unread = true;
-            try (Child child = started(how)) {
+    void exitsWithCode2AfterFailedStartWithFullPipeOnStandardError() throws Exception {
+        try (ServerSocket portHolder = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
+            Child.Start options = new Child.Start();
+            options.port = portHolder.getLocalPort();
+            options.before = FULL_PIPE;
+            options.unread = true;
+            try (Child child = startProxy(options)) {
                 assertEquals(2, child.ends(15));
             }
         }
     }
 
-    /** Danger: threads that are there by then keep a process that serves nobody. */
+    /** Threads that were already started would keep a process running that serves nobody. */
     @Test
-    void aStartThatFailsForNoKnownReasonEndsItWithACodeOfItsOwn() throws Exception {
-        Child.Start how = new Child.Start();
-        how.program = new String[] {"cacheproxy.server.NoLoop"};
-        try (Child child = started(how)) {
+    void exitsWithCode70IfStartFailsUnexpectedly() throws Exception {
+        Child.Start options = new Child.Start();
+        options.program = new String[] {"cacheproxy.server.UncreatableEventLoopMain"};
+        try (Child child = startProxy(options)) {
             assertEquals(70, child.ends(15));
             child.hasSaid("cannot start: java.lang.IllegalStateException: planted");
         }
     }
 
-    // ---- signals while it starts ----
+    // ---- signals during the start ----
 
-    /** Danger: a reload of all proxies meets one that starts, and ends it. */
+    /** A reload of all proxies must not end one that is still starting. */
     @Test
-    void sighupDuringTheStartIsKeptUntilItCanBeServed() throws Exception {
-        try (Child child = started()) {
-            child.loads("cacheproxy.configuration.ProxyConfiguration"); // main has begun
+    void reloadsAfterStartOnSighupDuringStart() throws Exception {
+        try (Child child = startProxy()) {
+            child.loads("cacheproxy.configuration.ProxyConfiguration"); // main is running
             for (int i = 0; i < 5; i++) {
                 child.signal("HUP");
             }
-            served(child.greeted(), "a1", null);
+            serve(child.greeted(), "a1", null);
             child.says(0, "configuration taken");
         }
     }
 
-    /** Danger: until the program's classes are loaded SIGHUP ends it. */
+    /** Before the handler is installed, while the first classes are loaded, SIGHUP would end the process. */
     @Test
-    void sighupWhileItsClassesAreLoadedIsKeptToo() throws Exception {
-        try (Child child = started()) {
+    void reloadsAfterStartOnSighupDuringClassLoading() throws Exception {
+        try (Child child = startProxy()) {
             child.loads("cacheproxy.server.ProxyProcess");
             child.signal("HUP");
-            served(child.greeted(), "a1", null);
+            serve(child.greeted(), "a1", null);
             child.says(0, "configuration taken");
         }
     }
 
-    private void termAt(String loaded) throws Exception {
-        try (Child child = started()) {
-            child.loads(loaded);
+    private void assertExitsOnSigtermOnceLoaded(String className) throws Exception {
+        try (Child child = startProxy()) {
+            child.loads(className);
             child.signal("TERM");
-            assertEquals(0, child.ends(6), "SIGTERM once " + loaded + " is loaded");
+            assertEquals(0, child.ends(6), "SIGTERM once " + className + " is loaded");
         }
     }
 
-    /** Danger: a restart that is called off counts as a crash, or leaves a process that nobody looks after. */
+    /** Otherwise a cancelled restart would count as a crash, or leave a process that nobody supervises. */
     @Test
-    void sigtermAtTheBeginningOfTheStartEndsItAsUsual() throws Exception {
-        termAt("cacheproxy.configuration.ProxyConfiguration");
+    void exitsWithCode0OnSigtermAtBeginningOfStart() throws Exception {
+        assertExitsOnSigtermOnceLoaded("cacheproxy.configuration.ProxyConfiguration");
     }
 
     @Test
-    void sigtermDuringTheJitWarmUpEndsTheProcessAsUsual() throws Exception {
-        termAt("cacheproxy.server.JitWarmUp");
+    void exitsWithCode0OnSigtermDuringJitWarmUp() throws Exception {
+        assertExitsOnSigtermOnceLoaded("cacheproxy.server.JitWarmUp");
     }
 
-    /** It waits up to 3 s for the one before it to give up the address. */
+    /** The proxy waits up to 3 s until the previous process has released the address. */
     @Test
-    void sigtermWhileItsAddressIsHeldByAnotherEndsItAsUsual() throws Exception {
-        try (ServerSocket held = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
-            Child.Start how = new Child.Start();
-            how.port = held.getLocalPort();
-            try (Child child = started(how)) {
+    void exitsWithCode0OnSigtermWhileWaitingForAddress() throws Exception {
+        try (ServerSocket portHolder = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
+            Child.Start options = new Child.Start();
+            options.port = portHolder.getLocalPort();
+            try (Child child = startProxy(options)) {
                 child.loads("java.net.BindException");
                 child.signal("TERM");
                 assertEquals(0, child.ends(6));
@@ -220,8 +224,8 @@
     }
 
     @Test
-    void bothSignalsManyTimesDuringTheStartEndItAsUsual() throws Exception {
-        try (Child child = started()) {
+    void exitsWithCode0OnRepeatedSighupAndSigtermDuringStart() throws Exception {
+        try (Child child = startProxy()) {
             child.loads("cacheproxy.configuration.ProxyConfiguration");
             for (int i = 0; i < 3 && child.process.isAlive(); i++) {
                 child.signal("HUP");
@@ -231,178 +235,187 @@
         }
     }
 
-    // ---- the end ----
+    // ---- shutdown ----
 
-    /** Danger: the front learns of the end only later, and what it sends meanwhile would be turned away. */
+    /** The front end learns of the shutdown only later; the requests that it sends meanwhile would be rejected. */
     @Test
-    void afterSigtermItServesOnForAWhileAndThenEnds() throws Exception {
-        try (Child child = started()) {
+    void keepsServingForSomeTimeAfterSigtermAndThenExits() throws Exception {
+        try (Child child = startProxy()) {
             Peer client = child.greeted();
-            Peer at = served(client, "a", null);
-            long told = System.nanoTime();
+            Peer connection = serve(client, "a", null);
+            long sigtermNs = System.nanoTime();
             child.signal("TERM");
             child.says(0, "shutting down");
-            int asked = 0;
-            for (boolean on = true; on; asked++) { // again and again, as the front goes on sending
-                boolean served = servedOn(child, client, at, "a" + asked);
-                on = System.nanoTime() - told < 400_000_000L;
-                assertTrue(served || !on, "turned away within 0.4 s of SIGTERM, asked " + asked + " times before");
+            int requests = 0;
+            for (boolean expectServed = true; expectServed; requests++) { // the front end keeps sending
+                boolean served = trySending(child, client, connection, "a" + requests);
+                expectServed = System.nanoTime() - sigtermNs < 400_000_000L;
+                assertTrue(
+                        served || !expectServed,
+                        "rejected within 0.4 s of SIGTERM, after " + requests + " requests");
             }
             client.close();
             assertEquals(0, child.ends(6));
         }
     }
 
-    /** On a new connection and on the one that there was. */
-    private static boolean servedOn(Child child, Peer client, Peer at, String id) {
-        try (Peer late = Peer.to(child.address)) {
-            late.send("mn\r\n");
+    /** Sends {@code mn} on a new connection and a request on the existing one; returns whether both were served. */
+    private static boolean trySending(Child child, Peer client, Peer connection, String id) {
+        try (Peer newClient = Peer.to(child.address)) {
+            newClient.send("mn\r\n");
             client.send(Fixture.read(id, 4000));
-            if (!"MN".equals(late.line()) || !("O" + id).equals(Arrivals.command(at))) {
+            if (!"MN".equals(newClient.line()) || !("O" + id).equals(Arrivals.command(connection))) {
                 return false;
             }
-            at.send("VA 1 O" + id + "\r\n1\r\n");
+            connection.send("VA 1 O" + id + "\r\n1\r\n");
             return ("VA 1 O" + id).equals(client.line()) && "1".equals(client.line());
         } catch (IOException | AssertionError e) {
             return false;
         }
     }
 
-    // ---- descriptors ----
+    // ---- file descriptors ----
 
-    private static long descriptors(Child child) {
-        try (Stream<Path> all = Files.list(Path.of("/proc/" + child.process.pid() + "/fd"))) {
-            return all.count();
+    private static long openDescriptors(Child child) {
+        try (Stream<Path> descriptors = Files.list(Path.of("/proc/" + child.process.pid() + "/fd"))) {
+            return descriptors.count();
         } catch (IOException e) {
             return 0;
         }
     }
 
-    /** Danger: Netty's first warning of it opened files of its own, which ended the loop, with exit code 0. */
+    /** Netty's first warning of it made the JDK's logger open files, which ended the event loop, with exit code 0. */
     @Test
-    void shortOfDescriptorsItGoesOnAndServesAgainAfterwards() throws Exception {
-        int most = 96;
-        Child.Start how = new Child.Start();
-        how.before = "ulimit -n " + most;
-        try (Child child = started(how)) {
-            Peer usual = child.greeted();
+    void survivesLackOfDescriptorsAndServesAgainAfterwards() throws Exception {
+        int maxDescriptors = 96;
+        Child.Start options = new Child.Start();
+        options.before = "ulimit -n " + maxDescriptors;
+        try (Child child = startProxy(options)) {
+            Peer earlyClient = child.greeted();
             List<Peer> flood = new ArrayList<>();
-            for (int i = 0; i < 2 * most; i++) {
+            for (int i = 0; i < 2 * maxDescriptors; i++) {
                 flood.add(Peer.to(child.address));
             }
-            child.until("to run out of descriptors", () -> descriptors(child) >= most);
-            usual.send("mn\r\n");
-            usual.expect("MN");
-            usual.send(Fixture.read("a1", 1000));
-            child.until("to answer, without a descriptor to ask a node with", () -> node.count() > 0 || ready(usual));
+            child.until("to run out of descriptors", () -> openDescriptors(child) >= maxDescriptors);
+            earlyClient.send("mn\r\n");
+            earlyClient.expect("MN");
+            earlyClient.send(Fixture.read("a1", 1000));
+            child.until(
+                    "to respond without a descriptor for a connection to a node",
+                    () -> node.count() > 0 || hasInput(earlyClient));
             if (node.count() == 0) {
-                assertTrue(usual.line().startsWith("SERVER_ERROR "));
+                assertTrue(earlyClient.line().startsWith("SERVER_ERROR "));
             }
-            flood.get(0).expectEnd(); // it says nothing for 2 s: by now accepting has failed for as long
-            for (Peer p : flood) {
-                p.close();
+            flood.get(0).expectEnd(); // idle for 2 s: accepting has failed for as long
+            for (Peer idleClient : flood) {
+                idleClient.close();
             }
-            child.until("to have descriptors again", () -> descriptors(child) < most - 16);
+            child.until("to have descriptors again", () -> openDescriptors(child) < maxDescriptors - 16);
             Peer client = child.greeted();
-            int before = node.count();
-            for (int i = 0; node.count() == before; i++) { // what failed may have made it refuse some keys
-                assertTrue(i < 100, "refused each time");
+            int connectionsBefore = node.count();
+            for (int i = 0; node.count() == connectionsBefore; i++) { // some keys may still be rejected
+                assertTrue(i < 100, "rejected each time");
                 client.send(Fixture.read("b" + i, 4000).replace("7f3a9c21e0b4d655", "b" + i));
-                child.until("to serve again", () -> node.count() > before || ready(client));
-                assertTrue(node.count() > before || client.line().startsWith("SERVER_ERROR busy"));
+                child.until("to serve again", () -> node.count() > connectionsBefore || hasInput(client));
+                assertTrue(node.count() > connectionsBefore || client.line().startsWith("SERVER_ERROR busy"));
             }
-            for (int i = 0; i < before; i++) {
+            for (int i = 0; i < connectionsBefore; i++) {
                 node.next();
             }
-            Peer at = node.next();
-            String id = Arrivals.command(at);
-            at.send("VA 1 " + id + "\r\n1\r\n");
+            Peer connection = node.next();
+            String id = Arrivals.command(connection);
+            connection.send("VA 1 " + id + "\r\n1\r\n");
             client.expect("VA 1 " + id, "1");
             assertTrue(child.process.isAlive());
         }
     }
 
-    private static boolean ready(Peer p) {
+    private static boolean hasInput(Peer peer) {
         try {
-            return p.ready();
+            return peer.ready();
         } catch (IOException e) {
             throw new AssertionError(e);
         }
     }
 
-    // ---- a new configuration ----
+    // ---- reload ----
 
-    private String known() {
+    private String knownList() {
         return Fixture.list(1, true, Fixture.entry(0, "SERVING", node));
     }
 
-    private static int reloaded(Child child, String json) throws Exception {
-        int before = child.said.size();
+    private static int reload(Child child, String json) throws Exception {
+        int firstLine = child.said.size();
         Files.writeString(child.config, json);
         child.signal("HUP");
-        child.says(before, "configuration taken");
-        return before;
+        child.says(firstLine, "configuration taken");
+        return firstLine;
     }
 
-    private static List<String> restarts(Child child, int from) {
+    private static List<String> restartLines(Child child, int firstLine) {
         return child.said.stream()
-                .skip(from)
-                .filter(l -> l.contains("needs a restart:"))
+                .skip(firstLine)
+                .filter(line -> line.contains("needs a restart:"))
                 .toList();
     }
 
-    /** Danger: nobody can tell whether a reload has worked, or why what was changed has no effect. */
+    /** Otherwise operators could not tell whether a reload has worked, or why a change has no effect. */
     @Test
-    void aReloadSaysThatItWorkedAndWhatWaitsForARestart() throws Exception {
-        try (Child child = started();
-                Peer.Listener moved = new Peer.Listener()) {
+    void logsReloadAndFieldsThatNeedRestart() throws Exception {
+        try (Child child = startProxy();
+                Peer.Listener newDiscovery = new Peer.Listener()) {
             child.greeted();
-            String usual = Fixture.json(known(), Fixture.SETTINGS, 1024);
-            int first = reloaded(
+            String original = Fixture.json(knownList(), Fixture.SETTINGS, 1024);
+            int addressChangedAt = reload(
                     child,
-                    usual.replace("{\"name\":\"n0\"", "{\"discovery\":\"" + moved.address() + "\",\"name\":\"n0\""));
-            int second = reloaded(
+                    original.replace(
+                            "{\"name\":\"n0\"",
+                            "{\"discovery\":\"" + newDiscovery.address() + "\",\"name\":\"n0\""));
+            int settingsChangedAt = reload(
                     child,
-                    usual.replace("\"maxAttempts\":4", "\"maxAttempts\":3")
+                    original.replace("\"maxAttempts\":4", "\"maxAttempts\":3")
                             .replace("\"sockets\":1024", "\"sockets\":512"));
-            child.says(second, "needs a restart:");
+            child.says(settingsChangedAt, "needs a restart:");
             assertEquals(
                     0,
-                    restarts(child, first).size() - restarts(child, second).size(),
-                    "where discovery is needs none: " + child.said);
-            String said = String.join("\n", restarts(child, second));
-            assertTrue(said.contains("settings.caps.maxAttempts"), said);
-            assertTrue(said.contains("limits.sockets"), said);
-            assertFalse(said.contains("settings.caps.multiplex"), said);
+                    restartLines(child, addressChangedAt).size() - restartLines(child, settingsChangedAt).size(),
+                    "a new address of discovery needs no restart: " + child.said);
+            String logged = String.join("\n", restartLines(child, settingsChangedAt));
+            assertTrue(logged.contains("settings.caps.maxAttempts"), logged);
+            assertTrue(logged.contains("limits.sockets"), logged);
+            assertFalse(logged.contains("settings.caps.multiplex"), logged);
         }
     }
 
-    /** Danger: said once and then no more, it looks as if it had been taken. */
+    /** If it were logged only at the first reload, the change would look as if it had taken effect. */
     @Test
-    void whatWaitsForARestartIsSaidAtEachReloadUntilItIsAsBefore() throws Exception {
-        try (Child child = started()) {
+    void logsFieldThatNeedsRestartAtEachReloadUntilReverted() throws Exception {
+        try (Child child = startProxy()) {
             child.greeted();
-            String usual = Fixture.json(known(), Fixture.SETTINGS, 1024);
-            String changed = usual.replace("\"maxAttempts\":4", "\"maxAttempts\":3");
+            String original = Fixture.json(knownList(), Fixture.SETTINGS, 1024);
+            String changed = original.replace("\"maxAttempts\":4", "\"maxAttempts\":3");
             for (int i = 0; i < 2; i++) {
-                int from = reloaded(child, changed);
-                child.says(from, "settings.caps.maxAttempts");
+                int reloadedAt = reload(child, changed);
+                child.says(reloadedAt, "settings.caps.maxAttempts");
             }
-            int back = reloaded(child, usual);
-            int last = reloaded(child, changed);
-            child.says(last, "settings.caps.maxAttempts");
-            assertEquals(restarts(child, last), restarts(child, back), "as it runs: nothing waits");
+            int revertedAt = reload(child, original);
+            int changedAgainAt = reload(child, changed);
+            child.says(changedAgainAt, "settings.caps.maxAttempts");
+            assertEquals(
+                    restartLines(child, changedAgainAt),
+                    restartLines(child, revertedAt),
+                    "no restart is needed for the configuration in use");
         }
     }
 
     @Test
-    void aReloadThatIsNotTakenSaysSo() throws Exception {
-        try (Child child = started()) {
+    void logsRejectedReload() throws Exception {
+        try (Child child = startProxy()) {
             child.greeted();
             Files.writeString(child.config, "{\"name\":");
             child.signal("HUP");
             child.says(0, "the new configuration is not taken");
-            served(child.greeted(), "a1", null);
+            serve(child.greeted(), "a1", null);
         }
     }
 }
--- a/proxy/src/test/java/cacheproxy/server/RestartedProxyTest.java
+++ b/proxy/src/test/java/cacheproxy/server/RestartedProxyTest.java
@@ -11,8 +11,8 @@
 
 /**
  * A proxy process is killed and restarted with the configuration of its first start, whose endpoint list may be of any
- * age. Changes since then count as notified 6 s after they were made, whether or not the new process has called discovery
- * (incident 33): if discovery responds, no request may be sent to a node before its list is received.
+ * age. Changes since then count as notified 6 s after they were made, whether or not the new process has called
+ * discovery (incident 33): if discovery responds, no request may be sent to a node before its list is received.
  */
 @Timeout(90)
 class RestartedProxyTest {
@@ -69,12 +69,14 @@
             throws IOException, InterruptedException {
         try (Child firstProcess = startProxy()) {
             readKeys(firstProcess);
-            assertTrue(stayingNode.served() > 0 && removedNode.served() > 0, "both nodes receive reads while both are ready");
+            assertTrue(
+                    stayingNode.served() > 0 && removedNode.served() > 0,
+                    "both nodes receive reads while both are ready");
             firstProcess.signal("KILL");
             assertEquals(137, firstProcess.ends(10));
         }
         discovery.holds(list(2, newState));
-        discovery.turnsAway(rejectedCalls);
+        discovery.rejectNextCalls(rejectedCalls);
         int readsBefore = removedNode.served();
         try (Child secondProcess = startProxy()) {
             readKeys(secondProcess);
@@ -96,6 +98,6 @@
     @Test
     void waitsForListWhileDiscoveryRejectsCalls() throws Exception {
         assertNoReadsAfterRestart("DELETED", 3);
-        assertEquals(3, discovery.turnedAway());
+        assertEquals(3, discovery.rejectedCalls());
     }
 }
--- a/proxy/src/test/java/cacheproxy/server/StartOrderTest.java
+++ b/proxy/src/test/java/cacheproxy/server/StartOrderTest.java
@@ -8,8 +8,9 @@
 import org.junit.jupiter.api.Timeout;
 
 /**
- * An older endpoint list must not replace a newer one, or draining nodes would come back and new nodes would be lost; and
- * a proxy answers {@code mn}, by which the front end checks whether it is ready, only once it has a list to serve with.
+ * An older endpoint list must not replace a newer one, or draining nodes would come back and new nodes would be lost.
+ * And a proxy delays its answer to {@code mn}, with which the front end checks whether it is ready, until it has a list
+ * to serve with, but not without limit.
  */
 @Timeout(60)
 class StartOrderTest {
@@ -20,7 +21,8 @@
     }
 
     /** Reads {@code keys} keys and returns the number of requests by node; each ready node receives a share. */
-    private static int[] requestsByNode(Fixture fixture, Arrivals arrivals, String idPrefix, int keys) throws Exception {
+    private static int[] requestsByNode(Fixture fixture, Arrivals arrivals, String idPrefix, int keys)
+            throws Exception {
         int[] requests = new int[fixture.nodes.size()];
         Peer client = fixture.client();
         for (int i = 0; i < keys; i++) {
@@ -36,8 +38,8 @@
     }
 
     /**
-     * The JIT warm-up takes longer than the first response of discovery: the empty list of the configuration was applied
-     * after the list of discovery and replaced it.
+     * The JIT warm-up takes longer than the first response of discovery: the empty list of the configuration was
+     * applied after the list of discovery and replaced it.
      */
     @Test
     void keepsListReceivedBeforeStartIsComplete() throws Exception {
@@ -66,8 +68,8 @@
     }
 
     /**
-     * The list of the configuration has the node as ready. If it were applied after the list of discovery, the node would
-     * receive requests although it drains.
+     * The list of the configuration has the node as ready. If it were applied after the list of discovery, the node
+     * would receive requests although it drains.
      */
     @Test
     void sendsNothingToNodeThatDrainsBeforeStartIsComplete() throws Exception {
@@ -89,7 +91,10 @@
             for (int i = 0; i < 20; i++) { // the first node would receive half of these keys
                 client.send(Fixture.read("a" + i, 4000).replace("7f3a9c21e0b4d655", "a" + i));
                 Peer openConnection = connection;
-                child.until("to forward the request", () -> drainingNode.count() > 0 || (openConnection == null ? node.count() > 0 : hasInput(openConnection)));
+                child.until(
+                        "to forward the request",
+                        () -> drainingNode.count() > 0
+                                || (openConnection == null ? node.count() > 0 : hasInput(openConnection)));
                 assertEquals(0, drainingNode.count(), "request sent to a draining node");
                 connection = openConnection == null ? node.next() : openConnection;
                 assertEquals("Oa" + i, Arrivals.command(connection));
@@ -107,7 +112,10 @@
                     fixture.watch(),
                     Fixture.list(5, true, fixture.entry(1, "SERVING")),
                     Fixture.list(4, true, fixture.entry(0, "SERVING"), fixture.entry(1, "SERVING")));
-            assertEquals(0, requestsByNode(fixture, new Arrivals(fixture), "a", 20)[0], "request sent to a node that is gone");
+            assertEquals(
+                    0,
+                    requestsByNode(fixture, new Arrivals(fixture), "a", 20)[0],
+                    "request sent to a node that is gone");
         }
     }
 
@@ -118,7 +126,8 @@
                     fixture.watch(),
                     Fixture.list(5, false, fixture.entry(0, "DRAINING")),
                     Fixture.list(4, false, fixture.entry(0, "SERVING")));
-            assertEquals(0, requestsByNode(fixture, new Arrivals(fixture), "a", 20)[0], "request sent to a draining node");
+            assertEquals(
+                    0, requestsByNode(fixture, new Arrivals(fixture), "a", 20)[0], "request sent to a draining node");
         }
     }
 
@@ -126,9 +135,15 @@
     @Test
     void rejectsListOlderThanKnownList() throws Exception {
         try (Fixture fixture = new Fixture(
-                2, settings -> settings, 1024, created -> Fixture.list(7, true, created.entry(0, "DRAINING"), created.entry(1, "SERVING")))) {
-            Fixture.toldAndEnded(fixture.watch(), Fixture.list(6, true, fixture.entry(0, "SERVING"), fixture.entry(1, "SERVING")));
-            assertEquals(0, requestsByNode(fixture, new Arrivals(fixture), "a", 20)[0], "request sent to a draining node");
+                2,
+                settings -> settings,
+                1024,
+                created -> Fixture.list(7, true, created.entry(0, "DRAINING"), created.entry(1, "SERVING")))) {
+            Fixture.toldAndEnded(
+                    fixture.watch(),
+                    Fixture.list(6, true, fixture.entry(0, "SERVING"), fixture.entry(1, "SERVING")));
+            assertEquals(
+                    0, requestsByNode(fixture, new Arrivals(fixture), "a", 20)[0], "request sent to a draining node");
         }
     }
 
@@ -143,7 +158,10 @@
                 assertEquals("GET /registry/instances?stream=1&index=50 HTTP/1.1", watch.line());
                 startResponse(watch);
                 Fixture.toldAndEnded(watch, Fixture.list(call, true, fixture.entry(0, "SERVING")));
-                assertEquals(0, requestsByNode(fixture, arrivals, "a" + call, 5)[0], "older list accepted after " + call + " calls");
+                assertEquals(
+                        0,
+                        requestsByNode(fixture, arrivals, "a" + call, 5)[0],
+                        "older list accepted after " + call + " calls");
             }
             int[] requests = {0, 0};
             long startNs = System.nanoTime();
@@ -219,7 +237,8 @@
             frontEnd.send("mn\r\n" + Fixture.read("a1", 4000) + "mn\r\n");
             frontEnd.expect("MN");
             assertTrue(System.nanoTime() - startNs > 1_500_000_000L, "answered before the timeout");
-            assertTrue(frontEnd.line().startsWith("SERVER_ERROR busy"), "responses are sent in the order of the requests");
+            assertTrue(
+                    frontEnd.line().startsWith("SERVER_ERROR busy"), "responses are sent in the order of the requests");
             frontEnd.expect("MN");
             frontEnd.send("mn\r\n");
             frontEnd.expect("MN");
--- a/proxy/src/test/java/cacheproxy/server/WatchCrossingTest.java
+++ b/proxy/src/test/java/cacheproxy/server/WatchCrossingTest.java
@@ -25,25 +25,28 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** Where what befalls a watch crosses with something else: an end with an end, a start with a list, a move. */
+/**
+ * Events of a watch that coincide with others: repeated failures, the first list and {@code mn} of a client, and the
+ * migration to another discovery service.
+ */
 @Timeout(60)
 class WatchCrossingTest {
-    private static final String PUSHED = Fixture.SETTINGS.replace("\"subscribe\"", "\"automatic\"");
+    private static final String PUSHED_LIST_SETTINGS = Fixture.SETTINGS.replace("\"subscribe\"", "\"automatic\"");
 
-    /** A proxy without nodes, what its module was told of lists, and how many connections it has dialled. */
-    private static final class Told implements Closeable {
+    /** A proxy without nodes; records the endpoint lists that its router receives and its connection attempts. */
+    private static final class ObservedProxy implements Closeable {
         final BlockingQueue<EndpointListKind> kinds = new LinkedBlockingQueue<>();
         private final EventLoop loop = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory()).next();
         private final ProxyServer proxy;
-        volatile boolean failuresReachTheModule = true;
-        private final BlockingQueue<Integer> dials = new LinkedBlockingQueue<>();
+        volatile boolean failuresReachTheRouter = true;
+        private final BlockingQueue<Integer> connectionAttempts = new LinkedBlockingQueue<>();
 
-        Told(Peer.Listener discovery, String settings) throws IOException {
+        ObservedProxy(Peer.Listener discovery, String settings) throws IOException {
             Path file = Files.createTempFile("config", ".json");
             Files.writeString(file, Fixture.json(Fixture.list(1, true), settings, 1024));
-            HostEnvironment counting = new HostEnvironment(
+            HostEnvironment countingHost = new HostEnvironment(
                     () -> {
-                        dials.add(1);
+                        connectionAttempts.add(1);
                         return new NioSocketChannel();
                     },
                     NioServerSocketChannel::new,
@@ -51,33 +54,33 @@
             proxy = ProxyServer.create(
                     ProxyConfiguration.load(Fixture.env(file, discovery.address())),
                     loop,
-                    counting,
+                    countingHost,
                     Fixture.log(),
-                    this::listens);
+                    this::observe);
             proxy.open();
             Files.delete(file);
         }
 
-        private RequestRouter listens(RequestRouter inner) {
+        private RequestRouter observe(RequestRouter router) {
             return (RequestRouter) java.lang.reflect.Proxy.newProxyInstance(
                     WatchCrossingTest.class.getClassLoader(),
                     new Class<?>[] {RequestRouter.class},
-                    (self, method, args) -> {
+                    (self, method, arguments) -> {
                         if (method.getName().equals("onEndpointList")) {
-                            kinds.add((EndpointListKind) args[1]);
-                            if (args[1] == EndpointListKind.FAILED && !failuresReachTheModule) {
+                            kinds.add((EndpointListKind) arguments[1]);
+                            if (arguments[1] == EndpointListKind.FAILED && !failuresReachTheRouter) {
                                 return null;
                             }
                         }
                         try {
-                            return method.invoke(inner, args);
+                            return method.invoke(router, arguments);
                         } catch (InvocationTargetException e) {
                             throw e.getCause();
                         }
                     });
         }
 
-        EndpointListKind next() throws InterruptedException {
+        EndpointListKind nextListKind() throws InterruptedException {
             return kinds.poll(10, TimeUnit.SECONDS);
         }
 
@@ -88,265 +91,277 @@
     }
 
     /**
-     * Danger: what an agent has counts as told whether or not a watch is open. The second watch that was reset within 2
-     * s was begun again only after the module's pause, of up to 3 s: longer than any drain's grace.
+     * Changes of an agent's list count as notified whether or not a watch is open. After the second reset within 2 s,
+     * the watch was restarted only after the router's backoff of up to 3 s, which is longer than any drain grace.
      */
     @Test
-    void aWatchAtAnAgentIsBegunAgainHoweverOftenItIsReset() throws Exception {
+    void restartsWatchAtAgentPromptlyAfterEachReset() throws Exception {
         try (Peer.Listener agent = new Peer.Listener();
-                Told t = new Told(agent, PUSHED)) {
-            assertEquals(EndpointListKind.CACHED, t.next());
+                ObservedProxy observed = new ObservedProxy(agent, PUSHED_LIST_SETTINGS)) {
+            assertEquals(EndpointListKind.CACHED, observed.nextListKind());
             for (int i = 0; i < 6; i++) {
                 Peer watch = Fixture.watch(agent);
                 if (i % 2 == 0) {
                     Fixture.chunk(watch, Fixture.list(2 + i, false));
-                    assertEquals(EndpointListKind.DELTA, t.next());
+                    assertEquals(EndpointListKind.DELTA, observed.nextListKind());
                 }
                 watch.reset();
             }
             Fixture.watch(agent);
-            assertTrue(t.kinds.isEmpty(), "the module has no pause to keep: " + t.kinds);
+            assertTrue(observed.kinds.isEmpty(), "the router was notified and would back off: " + observed.kinds);
         }
     }
 
-    /** The same where an agent is away for a while: nothing is learnt meanwhile, but all at its return. */
+    /** While an agent is unreachable it is called frequently, because all its changes count as soon as it returns. */
     @Test
-    void anAgentThatIsAwayIsCalledUntilItIsBack() throws Exception {
+    void callsUnreachableAgentUntilItReturns() throws Exception {
         Peer.Listener agent = new Peer.Listener();
-        try (Told t = new Told(agent, PUSHED)) {
-            t.next();
+        try (ObservedProxy observed = new ObservedProxy(agent, PUSHED_LIST_SETTINGS)) {
+            observed.nextListKind();
             agent.close();
-            t.dials.clear();
+            observed.connectionAttempts.clear();
             for (int i = 0; i < 8; i++) {
-                assertTrue(t.dials.poll(10, TimeUnit.SECONDS) != null);
+                assertTrue(observed.connectionAttempts.poll(10, TimeUnit.SECONDS) != null);
             }
-            assertTrue(t.kinds.isEmpty(), "the module has no pause to keep: " + t.kinds);
+            assertTrue(observed.kinds.isEmpty(), "the router was notified and would back off: " + observed.kinds);
         }
     }
 
     /**
-     * Where lists are asked for, a watch that ends is begun again. Danger: should the next one not come up, the
-     * module's pause began, and with the silence before it the 6 s were over in which all counts as told. The module
-     * never hears of a failure here, so that no call can be its own.
+     * Where discovery is polled, a watch that ends is restarted. If the next one could not connect, the router's
+     * backoff applied; with the silence before it, this took longer than the 6 s after which changes count as notified.
+     * Here the router is never notified of a failure, so that none of the calls can be caused by it.
      */
     @Test
-    void aWatchThatDoesNotComeUpIsBegunAgainWithoutTheModule() throws Exception {
+    void restartsWatchThatCannotConnectWithoutTheRouter() throws Exception {
         Peer.Listener discovery = new Peer.Listener();
-        try (Told t = new Told(discovery, Fixture.SETTINGS)) {
-            t.failuresReachTheModule = false;
-            t.next();
+        try (ObservedProxy observed = new ObservedProxy(discovery, Fixture.SETTINGS)) {
+            observed.failuresReachTheRouter = false;
+            observed.nextListKind();
             Peer watch = Fixture.watch(discovery);
             Fixture.chunk(watch, Fixture.list(2, false));
-            assertEquals(EndpointListKind.DELTA, t.next());
-            assertEquals(1, t.dials.size());
-            discovery.close(); // the watch as well
-            assertEquals(EndpointListKind.FAILED, t.next());
-            t.dials.clear();
+            assertEquals(EndpointListKind.DELTA, observed.nextListKind());
+            assertEquals(1, observed.connectionAttempts.size());
+            discovery.close(); // closes the watch too
+            assertEquals(EndpointListKind.FAILED, observed.nextListKind());
+            observed.connectionAttempts.clear();
             for (int i = 0; i < 6; i++) {
-                assertTrue(t.dials.poll(10, TimeUnit.SECONDS) != null, "no further call after " + i);
+                assertTrue(
+                        observed.connectionAttempts.poll(10, TimeUnit.SECONDS) != null, "no further call after " + i);
             }
         }
     }
 
     /**
-     * A move to an agent that is away. Danger: called less and less often, it was heard up to 3 s after its return,
-     * where what it has counts at once. Measured against the old watch, which says nothing and ends after 4 s.
+     * A migration to an agent that is unreachable. When it was called with a growing backoff, its list was received up
+     * to 3 s after its return, although an agent's list counts as notified at once. The old watch measures the time: it
+     * is silent and ends after 4 s.
      */
     @Test
-    void anAgentThatDiscoveryMovesToIsCalledOftenUntilItIsThere() throws Exception {
-        Peer.Listener away = new Peer.Listener();
-        away.close();
+    void callsNewAgentFrequentlyUntilItIsReachable() throws Exception {
+        Peer.Listener unreachableAgent = new Peer.Listener();
+        unreachableAgent.close();
         try (Peer.Listener agent = new Peer.Listener();
-                Told t = new Told(agent, PUSHED)) {
-            assertEquals(EndpointListKind.CACHED, t.next());
-            Peer old = Fixture.watch(agent);
-            Fixture.chunk(old, Fixture.list(2, false));
-            assertEquals(EndpointListKind.DELTA, t.next());
-            t.dials.clear();
-            String[] at = away.address().split(":");
-            t.loop.submit(() -> t.proxy.discovery.move(new InetSocketAddress(at[0], Integer.parseInt(at[1]))))
+                ObservedProxy observed = new ObservedProxy(agent, PUSHED_LIST_SETTINGS)) {
+            assertEquals(EndpointListKind.CACHED, observed.nextListKind());
+            Peer oldWatch = Fixture.watch(agent);
+            Fixture.chunk(oldWatch, Fixture.list(2, false));
+            assertEquals(EndpointListKind.DELTA, observed.nextListKind());
+            observed.connectionAttempts.clear();
+            String[] hostAndPort = unreachableAgent.address().split(":");
+            observed.loop
+                    .submit(() -> observed.proxy.discovery.move(
+                            new InetSocketAddress(hostAndPort[0], Integer.parseInt(hostAndPort[1]))))
                     .get();
-            old.expectEnd();
-            assertTrue(t.dials.size() >= 9, "called " + t.dials.size() + " times in 4 s");
+            oldWatch.expectEnd();
+            assertTrue(
+                    observed.connectionAttempts.size() >= 9,
+                    "called " + observed.connectionAttempts.size() + " times in 4 s");
         }
     }
 
-    private static void whatWasSentBeforeIsRead(Fixture f) throws IOException {
-        try (Peer barrier = Peer.to(f.proxy.address())) {
+    /** Returns once the proxy has read everything that was sent before. */
+    private static void awaitReadOfEarlierInput(Fixture fixture) throws IOException {
+        try (Peer barrier = Peer.to(fixture.proxy.address())) {
             barrier.send("nonsense\r\n");
             assertTrue(barrier.line().contains("ERROR"));
         }
     }
 
     /**
-     * Danger: what the agent has counts as told from the first moment of a process. A client that came before the first
-     * list was sent to a node that had drained while the process was down.
+     * The list of an agent counts as notified as soon as the process has started: a request of a client that connected
+     * before the first list was sent to a node that had drained while the process was down.
      */
     @Test
-    void whereListsArePushedAGreetingWaitsForTheFirst() throws Exception {
+    void holdsMnUntilFirstDataOfAgent() throws Exception {
         for (String first : new String[] {"", Fixture.list(1, false)}) {
-            try (Fixture f = new Fixture(1, s -> PUSHED, 1024)) {
-                Peer watch = f.watch();
-                Peer client = f.client();
+            try (Fixture fixture = new Fixture(1, settings -> PUSHED_LIST_SETTINGS, 1024)) {
+                Peer watch = fixture.watch();
+                Peer client = fixture.client();
                 client.send("mn\r\n");
-                whatWasSentBeforeIsRead(f);
-                assertFalse(client.ready(), "greeted before the agent has said what it has");
+                awaitReadOfEarlierInput(fixture);
+                assertFalse(client.ready(), "MN before the agent has sent its list");
                 Fixture.chunk(watch, first);
                 client.expect("MN");
             }
         }
     }
 
-    /** Danger: at the first part of a list that came in several, clients were let in on the old one. */
+    /** When the first list arrived in parts, clients were served with the old list once the first part was read. */
     @Test
-    void aGreetingWaitsForAllOfTheFirstList() throws Exception {
-        try (Fixture f = new Fixture(2, s -> PUSHED, 1024)) {
-            Peer watch = f.watch();
-            Peer client = f.client();
+    void holdsMnUntilFirstListIsComplete() throws Exception {
+        try (Fixture fixture = new Fixture(2, settings -> PUSHED_LIST_SETTINGS, 1024)) {
+            Peer watch = fixture.watch();
+            Peer client = fixture.client();
             client.send("mn\r\n");
-            String list = Fixture.list(2, false, f.entry(1, "SERVING"), f.entry(0, "DRAINING"));
+            String list = Fixture.list(2, false, fixture.entry(1, "SERVING"), fixture.entry(0, "DRAINING"));
             int half = list.indexOf("s-0");
             watch.send(Integer.toHexString(list.length()) + "\r\n" + list.substring(0, half));
-            whatWasSentBeforeIsRead(f);
-            assertFalse(client.ready(), "greeted in the middle of the first list");
+            awaitReadOfEarlierInput(fixture);
+            assertFalse(client.ready(), "MN in the middle of the first list");
             watch.send(list.substring(half) + "\r\n");
             client.expect("MN");
             client.send(Fixture.read("a1", 4000));
-            Peer node = new Arrivals(f).next();
+            Peer node = new Arrivals(fixture).next();
             assertEquals("Oa1", Arrivals.command(node));
-            assertEquals(0, f.nodes.get(0).count());
+            assertEquals(0, fixture.nodes.get(0).count());
         }
     }
 
     @Test
-    void theFirstListIsTakenInBeforeTheGreetingIsAnswered() throws Exception {
-        try (Fixture f = new Fixture(2, s -> PUSHED, 1024)) {
-            Peer client = f.client();
+    void appliesFirstListBeforeAnsweringMn() throws Exception {
+        try (Fixture fixture = new Fixture(2, settings -> PUSHED_LIST_SETTINGS, 1024)) {
+            Peer client = fixture.client();
             client.send("mn\r\n");
-            Fixture.chunk(f.watch(), Fixture.list(2, false, f.entry(0, "DRAINING")));
+            Fixture.chunk(fixture.watch(), Fixture.list(2, false, fixture.entry(0, "DRAINING")));
             client.expect("MN");
             for (int i = 0; i < 20; i++) {
                 client.send(Fixture.read("a" + i, 4000).replace("7f3a9c21e0b4d655", "key" + i));
-                Peer node = new Arrivals(f).next();
+                Peer node = new Arrivals(fixture).next();
                 assertEquals("Oa" + i, Arrivals.command(node));
                 node.send("VA 1 Oa" + i + "\r\n1\r\n");
                 client.expect("VA 1 Oa" + i, "1");
                 node.close();
             }
-            assertEquals(0, f.nodes.get(0).count());
+            assertEquals(0, fixture.nodes.get(0).count());
         }
     }
 
     /**
-     * Danger: a whole list asked for at the old service and answered once the new one has spoken was taken for the new
-     * one's, and its high version made all that the new one told an older list.
+     * A full list that was requested from the old service, but arrived after the first list of the new one, was
+     * accepted as a list of the new service. Because of its high version, all later lists of the new service were
+     * rejected as older.
      */
     @Test
-    void anAnswerOfTheOldServiceBehindAMoveIsNotTaken() throws Exception {
-        try (Fixture f = new Fixture(1);
-                Peer.Listener moved = new Peer.Listener()) {
-            Peer old = f.watch();
-            f.loop.submit(() -> f.proxy.discovery.fetch()).get();
-            Peer fetch = f.discovery.next();
+    void ignoresListOfOldServiceAfterMigration() throws Exception {
+        try (Fixture fixture = new Fixture(1);
+                Peer.Listener newService = new Peer.Listener()) {
+            Peer oldWatch = fixture.watch();
+            fixture.loop.submit(() -> fixture.proxy.discovery.fetch()).get();
+            Peer fetch = fixture.discovery.next();
             while (!fetch.line().isEmpty()) {
-                // the call
+                // reads the request
             }
-            Peer client = f.client();
+            Peer client = fixture.client();
             client.send(Fixture.read("a1", 4000));
-            Peer node = f.nodes.get(0).next();
+            Peer node = fixture.nodes.get(0).next();
             node.line();
             node.send("VA 1 Oa1\r\n1\r\n");
             client.expect("VA 1 Oa1", "1");
 
-            String[] at = moved.address().split(":");
-            f.loop.submit(() -> f.proxy.discovery.move(new InetSocketAddress(at[0], Integer.parseInt(at[1]))))
+            String[] hostAndPort = newService.address().split(":");
+            fixture.loop
+                    .submit(() -> fixture.proxy.discovery.move(
+                            new InetSocketAddress(hostAndPort[0], Integer.parseInt(hostAndPort[1]))))
                     .get();
-            Peer fresh = Fixture.watch(moved);
-            Fixture.chunk(fresh, Fixture.list(3, true, f.entry(0, "SERVING")));
-            old.expectEnd(); // the new service has spoken
-            String late = Fixture.list(900, true, f.entry(0, "SERVING"));
-            fetch.send("HTTP/1.1 200 OK\r\nContent-Length: " + late.length() + "\r\n\r\n" + late);
-            fetch.expectEnd(); // read to its end
-            Fixture.chunk(fresh, Fixture.list(4, false, f.entry(0, "DRAINING")));
+            Peer newWatch = Fixture.watch(newService);
+            Fixture.chunk(newWatch, Fixture.list(3, true, fixture.entry(0, "SERVING")));
+            oldWatch.expectEnd(); // the first list of the new service was accepted
+            String lateList = Fixture.list(900, true, fixture.entry(0, "SERVING"));
+            fetch.send("HTTP/1.1 200 OK\r\nContent-Length: " + lateList.length() + "\r\n\r\n" + lateList);
+            fetch.expectEnd(); // the proxy has read the response
+            Fixture.chunk(newWatch, Fixture.list(4, false, fixture.entry(0, "DRAINING")));
             node.expectEnd();
         }
     }
 
-    private static void move(Fixture f, Peer.Listener to) throws Exception {
-        String[] at = to.address().split(":");
-        f.loop.submit(() -> f.proxy.discovery.move(new InetSocketAddress(at[0], Integer.parseInt(at[1]))))
+    private static void migrate(Fixture fixture, Peer.Listener newService) throws Exception {
+        String[] hostAndPort = newService.address().split(":");
+        fixture.loop
+                .submit(() -> fixture.proxy.discovery.move(
+                        new InetSocketAddress(hostAndPort[0], Integer.parseInt(hostAndPort[1]))))
                 .get();
     }
 
-    /** A connection of the first node that rests: its end tells that a drain was heard. */
-    private static Peer resting(Fixture f, String id) throws Exception {
-        Peer client = f.client();
+    /** An idle connection of the first node; the proxy closes it once it has received a drain. */
+    private static Peer idleConnection(Fixture fixture, String id) throws Exception {
+        Peer client = fixture.client();
         client.send(Fixture.read(id, 4000));
-        Peer node = f.nodes.get(0).next();
+        Peer node = fixture.nodes.get(0).next();
         node.line();
         node.send("VA 1 O" + id + "\r\n1\r\n");
         client.expect("VA 1 O" + id, "1");
         return node;
     }
 
-    /** To another service and back before it has spoken: the first is asked for everything, and heard meanwhile. */
+    /** A migration that is reverted before the new service sends a list: the old one stays in use, with a new watch. */
     @Test
-    void aMoveThereAndBackEndsAtTheFirst() throws Exception {
-        try (Fixture f = new Fixture(1);
-                Peer.Listener moved = new Peer.Listener()) {
-            Peer old = f.watch();
-            Peer node = resting(f, "a1");
-            move(f, moved);
-            Peer there = moved.next();
-            while (!there.line().isEmpty()) {
-                // the call
+    void returnsToOldServiceIfMigrationIsReverted() throws Exception {
+        try (Fixture fixture = new Fixture(1);
+                Peer.Listener newService = new Peer.Listener()) {
+            Peer oldWatch = fixture.watch();
+            Peer node = idleConnection(fixture, "a1");
+            migrate(fixture, newService);
+            Peer abandonedCall = newService.next();
+            while (!abandonedCall.line().isEmpty()) {
+                // reads the request
             }
-            move(f, f.discovery);
-            there.expectEnd();
-            Peer fresh = f.discovery.next();
-            assertEquals("GET /registry/instances?stream=1&index=0 HTTP/1.1", fresh.line());
-            Fixture.chunk(old, Fixture.list(2, false, f.entry(0, "DRAINING")));
+            migrate(fixture, fixture.discovery);
+            abandonedCall.expectEnd();
+            Peer newWatch = fixture.discovery.next();
+            assertEquals("GET /registry/instances?stream=1&index=0 HTTP/1.1", newWatch.line());
+            Fixture.chunk(oldWatch, Fixture.list(2, false, fixture.entry(0, "DRAINING")));
             node.expectEnd();
-            fresh.send("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
-            Fixture.chunk(fresh, Fixture.list(2, true, f.entry(0, "DRAINING")));
-            old.expectEnd();
+            newWatch.send("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
+            Fixture.chunk(newWatch, Fixture.list(2, true, fixture.entry(0, "DRAINING")));
+            oldWatch.expectEnd();
         }
     }
 
-    /** A drain that the old service tells after a move has begun is heard: the new one has not spoken. */
+    /** Until the new service has sent a list, drains of the old one are still applied. */
     @Test
-    void theOldWatchIsHeardUntilTheNewServiceHasSpoken() throws Exception {
-        try (Fixture f = new Fixture(1);
-                Peer.Listener moved = new Peer.Listener()) {
-            Peer old = f.watch();
-            Peer node = resting(f, "a1");
-            move(f, moved);
-            moved.next();
-            Fixture.chunk(old, Fixture.list(2, false, f.entry(0, "DRAINING")));
+    void appliesListsOfOldWatchUntilNewServiceSendsOne() throws Exception {
+        try (Fixture fixture = new Fixture(1);
+                Peer.Listener newService = new Peer.Listener()) {
+            Peer oldWatch = fixture.watch();
+            Peer node = idleConnection(fixture, "a1");
+            migrate(fixture, newService);
+            newService.next();
+            Fixture.chunk(oldWatch, Fixture.list(2, false, fixture.entry(0, "DRAINING")));
             node.expectEnd();
         }
     }
 
-    /** Danger: a list that stops in the middle taken for a whole one makes the proxy forget the other nodes. */
+    /** If a truncated list were accepted as complete, the proxy would lose the other nodes. */
     @Test
-    void aNewServiceThatResetsInItsFirstListIsAskedAgain() throws Exception {
-        try (Fixture f = new Fixture(1);
-                Peer.Listener moved = new Peer.Listener()) {
-            f.nodes.add(new Peer.Listener()); // not listed yet
-            Peer old = f.watch();
-            Peer node = resting(f, "a1");
-            move(f, moved);
-            Peer first = Fixture.watch(moved);
-            String list = Fixture.list(9, true, f.entry(1, "SERVING"), f.entry(0, "SERVING"));
+    void retriesNewServiceThatResetsDuringItsFirstList() throws Exception {
+        try (Fixture fixture = new Fixture(1);
+                Peer.Listener newService = new Peer.Listener()) {
+            fixture.nodes.add(new Peer.Listener()); // not listed yet
+            Peer oldWatch = fixture.watch();
+            Peer node = idleConnection(fixture, "a1");
+            migrate(fixture, newService);
+            Peer first = Fixture.watch(newService);
+            String list = Fixture.list(9, true, fixture.entry(1, "SERVING"), fixture.entry(0, "SERVING"));
             String half = list.substring(0, list.indexOf("s-0"));
             first.send(Integer.toHexString(half.length()) + "\r\n" + half + "\r\n");
             first.reset();
-            Peer second = Fixture.watch(moved);
+            Peer second = Fixture.watch(newService);
             assertFalse(node.ready());
-            Fixture.chunk(old, Fixture.list(2, false, f.entry(0, "DRAINING")));
-            node.expectEnd(); // the old one was still heard
-            Fixture.chunk(second, Fixture.list(9, true, f.entry(1, "SERVING")));
-            old.expectEnd();
+            Fixture.chunk(oldWatch, Fixture.list(2, false, fixture.entry(0, "DRAINING")));
+            node.expectEnd(); // the old watch is still in use
+            Fixture.chunk(second, Fixture.list(9, true, fixture.entry(1, "SERVING")));
+            oldWatch.expectEnd();
         }
     }
 }
