--- a/proxy/src/main/java/cacheproxy/discovery/DiscoveryClient.java
+++ b/proxy/src/main/java/cacheproxy/discovery/DiscoveryClient.java
@@ -221,7 +221,7 @@
         return hasBeenUpToDate ? leftMs : Math.min(1, leftMs);
     }
 
-    /** Returns true if a list is rejected as older than the one held; its call is ended and the watch restarted. */
+    /** Returns true if a list is rejected as older than the one held. Its call is ended; a watch is restarted. */
     private boolean rejectIfStale(DiscoveryCall call, long received, boolean full) {
         ListVersion.Check check = version.check(received, nowNs());
         if (check == ListVersion.Check.ACCEPT) {
--- a/proxy/src/test/java/cacheproxy/server/Child.java
+++ b/proxy/src/test/java/cacheproxy/server/Child.java
@@ -44,11 +44,12 @@
     /** The options of the start, each with a default. */
     static final class Start {
         /** Shell commands that run first; the program then replaces the shell, so that the process id is the same. */
-        String before = ":";
+        String shellCommands = ":";
 
         String settings = Fixture.SETTINGS;
         int sockets = 1024;
-        boolean unread;
+        /** Whether nobody reads standard error, so that its pipe can fill. */
+        boolean errorOutputUnread;
         int port;
         /** Environment variables besides those that every start needs. */
         Map<String, String> env = Map.of();
@@ -99,7 +100,7 @@
         ProcessBuilder builder = new ProcessBuilder(
                 "sh",
                 "-c",
-                options.before + "; exec \"$@\"",
+                options.shellCommands + "; exec \"$@\"",
                 "sh",
                 Path.of(System.getProperty("java.home"), "bin", "java").toString(),
                 "-XX:TieredStopAtLevel=1",
@@ -113,7 +114,7 @@
         builder.environment().putAll(options.env);
         builder.redirectOutput(ProcessBuilder.Redirect.DISCARD);
         process = builder.start();
-        if (options.unread) {
+        if (options.errorOutputUnread) {
             errorReader = null;
         } else {
             errorReader = new Thread(this::readErrorOutput, "child");
@@ -168,7 +169,7 @@
     }
 
     /** Fails unless a line contains the text; if the process has exited, its last lines are read first. */
-    void hasSaid(String text) throws InterruptedException {
+    void assertErrorLine(String text) throws InterruptedException {
         if (errorReader != null && !process.isAlive()) {
             errorReader.join();
         }
--- a/proxy/src/test/java/cacheproxy/server/ProcessTest.java
+++ b/proxy/src/test/java/cacheproxy/server/ProcessTest.java
@@ -61,8 +61,8 @@
 
     private Child startWithFullPipe() throws IOException {
         Child.Start options = new Child.Start();
-        options.before = FULL_PIPE;
-        options.unread = true;
+        options.shellCommands = FULL_PIPE;
+        options.errorOutputUnread = true;
         return startProxy(options);
     }
 
@@ -119,7 +119,7 @@
             child.says(0, "hanging");
             child.signal("TERM");
             assertEquals(0, child.ends(12));
-            child.hasSaid("the loop hangs");
+            child.assertErrorLine("the loop hangs");
         }
     }
 
@@ -133,7 +133,7 @@
         options.program = new String[] {"cacheproxy.server.NettyLoggerProbe"};
         try (Child child = startProxy(options)) {
             child.says(0, "LOGGER ");
-            child.hasSaid("LOGGER cacheproxy.logging.NettyLoggerFactory");
+            child.assertErrorLine("LOGGER cacheproxy.logging.NettyLoggerFactory");
         }
     }
 
@@ -145,8 +145,8 @@
         try (ServerSocket portHolder = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
             Child.Start options = new Child.Start();
             options.port = portHolder.getLocalPort();
-            options.before = FULL_PIPE;
-            options.unread = true;
+            options.shellCommands = FULL_PIPE;
+            options.errorOutputUnread = true;
             try (Child child = startProxy(options)) {
                 assertEquals(2, child.ends(15));
             }
@@ -160,7 +160,7 @@
         options.program = new String[] {"cacheproxy.server.UncreatableEventLoopMain"};
         try (Child child = startProxy(options)) {
             assertEquals(70, child.ends(15));
-            child.hasSaid("cannot start: java.lang.IllegalStateException: planted");
+            child.assertErrorLine("cannot start: java.lang.IllegalStateException: planted");
         }
     }
 
@@ -289,7 +289,7 @@
     void survivesLackOfDescriptorsAndServesAgainAfterwards() throws Exception {
         int maxDescriptors = 96;
         Child.Start options = new Child.Start();
-        options.before = "ulimit -n " + maxDescriptors;
+        options.shellCommands = "ulimit -n " + maxDescriptors;
         try (Child child = startProxy(options)) {
             Peer earlyClient = child.greeted();
             List<Peer> flood = new ArrayList<>();
