--- a/proxy/src/main/java/cacheproxy/discovery/DiscoveryCall.java
+++ b/proxy/src/main/java/cacheproxy/discovery/DiscoveryCall.java
@@ -73,7 +73,7 @@
     /** The timeout of the list that is being received; null if there is none. */
     private Future<?> listTimeout;
 
-    private int endedListsAtTimeout;
+    private int endedListsAtTimerStart;
     private Channel channel;
     private boolean closed;
     private boolean responded;
@@ -178,7 +178,7 @@
         return skipReason == null && (responded || timedOut);
     }
 
-    void acceptedList() {
+    void markListAccepted() {
         listAccepted = true;
     }
 
@@ -247,7 +247,7 @@
 
     private void decode(byte[] bytes) {
         boolean withinSizeLimit = listDecoder.decode(bytes);
-        if (listTimeout != null && listDecoder.endedLists() != endedListsAtTimeout) {
+        if (listTimeout != null && listDecoder.endedLists() != endedListsAtTimerStart) {
             listTimeout.cancel(false);
             listTimeout = null;
         }
@@ -256,7 +256,7 @@
         }
         if (listDecoder.isInsideList() && listTimeout == null && !closed) {
             int endedListsBefore = listDecoder.endedLists();
-            endedListsAtTimeout = endedListsBefore;
+            endedListsAtTimerStart = endedListsBefore;
             listTimeout = clock.schedule(
                     WatchTimeouts.LIST_TIMEOUT_MS * 1000L,
                     () -> clock.scheduleAfterRead(() -> failUnlessListCompleted(endedListsBefore)));
--- a/proxy/src/main/java/cacheproxy/discovery/DiscoveryClient.java
+++ b/proxy/src/main/java/cacheproxy/discovery/DiscoveryClient.java
@@ -328,7 +328,7 @@
             if (!call.listWasSkipped()) {
                 version.hold(received); // after a skipped list the next watch requests the changes again
             }
-            call.acceptedList();
+            call.markListAccepted();
             listener.endpointsReceived(full ? EndpointListKind.FULL : EndpointListKind.DELTA, numbered(endpoints));
         }
     }
--- a/proxy/src/main/java/cacheproxy/discovery/WatchTimeouts.java
+++ b/proxy/src/main/java/cacheproxy/discovery/WatchTimeouts.java
@@ -73,7 +73,7 @@
     /** Older lists are accepted only after this time, which is longer than a replica of the service may lag. */
     static final int MIN_STALE_TIME_MS = 6500;
 
-    private static final int PUSH_TIMEOUTS_IN_DRAIN_GRACE = 4;
+    private static final int PUSH_TIMEOUTS_PER_GRACE = 4;
     private static final int MIN_PUSH_TIMEOUT_MS = 50;
 
     private WatchTimeouts() {}
@@ -84,6 +84,6 @@
             return CONNECT_TIMEOUT_MS;
         }
         return (int)
-                Math.max(MIN_PUSH_TIMEOUT_MS, Math.min(CONNECT_TIMEOUT_MS, drainGraceMs / PUSH_TIMEOUTS_IN_DRAIN_GRACE));
+                Math.max(MIN_PUSH_TIMEOUT_MS, Math.min(CONNECT_TIMEOUT_MS, drainGraceMs / PUSH_TIMEOUTS_PER_GRACE));
     }
 }
