--- a/proxy/src/test/java/cacheproxy/server/ProcessTest.java
+++ b/proxy/src/test/java/cacheproxy/server/ProcessTest.java
@@ -306,7 +306,7 @@
             if (node.count() == 0) {
                 assertTrue(earlyClient.line().startsWith("SERVER_ERROR "));
             }
-            flood.get(0).expectEnd(); // idle for 2 s: accepting has failed for as long
+            flood.get(0).expectEnd(); // closed after 2 s of silence: accepting has failed for as long
             for (Peer idleClient : flood) {
                 idleClient.close();
             }
