--- a/proxy/src/main/java/cacheproxy/configuration/FieldReader.java
+++ b/proxy/src/main/java/cacheproxy/configuration/FieldReader.java
@@ -118,8 +118,7 @@
         if (fields.get(key) == null) {
             return new InvalidInputException(key + " is missing from " + container + ": expected " + expected);
         }
-        return new InvalidInputException(
-                key + " in " + container + " is not " + expected + ": "
-                        + PrintableText.of(String.valueOf(fields.get(key))));
+        return new InvalidInputException(key + " in " + container + " is not " + expected + ": "
+                + PrintableText.of(String.valueOf(fields.get(key))));
     }
 }
--- a/proxy/src/main/java/cacheproxy/configuration/ProxyConfiguration.java
+++ b/proxy/src/main/java/cacheproxy/configuration/ProxyConfiguration.java
@@ -204,7 +204,8 @@
                 flatten(path + "." + i, list.get(i), valuesByPath);
             }
         } else if (value instanceof List<?> list) {
-            valuesByPath.put(path, String.join(",", list.stream().map(String::valueOf).toList()));
+            valuesByPath.put(
+                    path, String.join(",", list.stream().map(String::valueOf).toList()));
         } else if (value != null) {
             valuesByPath.put(path, value.toString());
         }
--- a/proxy/src/main/java/cacheproxy/discovery/DiscoveryCall.java
+++ b/proxy/src/main/java/cacheproxy/discovery/DiscoveryCall.java
@@ -129,7 +129,8 @@
                     @Override
                     protected void initChannel(Channel newChannel) {
                         channel = newChannel;
-                        newChannel.pipeline()
+                        newChannel
+                                .pipeline()
                                 .addLast(
                                         new ReadSilenceHandler(clock, timeouts.firstByteTimeoutMs()),
                                         new HttpClientCodec(),
--- a/proxy/src/main/java/cacheproxy/discovery/ServiceMigration.java
+++ b/proxy/src/main/java/cacheproxy/discovery/ServiceMigration.java
@@ -22,15 +22,12 @@
     private long startTimeNs;
 
     /**
-     * @param agentPushesLists whether an agent pushes endpoint lists; then a call has no deadline by which it
-     *     must succeed
+     * @param agentPushesLists whether an agent pushes endpoint lists; then a call has no deadline by which it must
+     *     succeed
      * @param startCall starts a watch for all endpoints at the new service
      */
     ServiceMigration(
-            EventLoop eventLoop,
-            boolean agentPushesLists,
-            BackoffPolicy backoff,
-            Supplier<DiscoveryCall> startCall) {
+            EventLoop eventLoop, boolean agentPushesLists, BackoffPolicy backoff, Supplier<DiscoveryCall> startCall) {
         this.eventLoop = eventLoop;
         this.agentPushesLists = agentPushesLists;
         this.backoff = backoff;
--- a/proxy/src/test/java/cacheproxy/discovery/BackoffPolicyTest.java
+++ b/proxy/src/test/java/cacheproxy/discovery/BackoffPolicyTest.java
@@ -55,13 +55,21 @@
         assertBetween(
                 500,
                 1500,
-                IntStream.range(0, DRAWS).map(draw -> backoff.nextDelayMs(0, 6000)).summaryStatistics());
+                IntStream.range(0, DRAWS)
+                        .map(draw -> backoff.nextDelayMs(0, 6000))
+                        .summaryStatistics());
         assertBetween(
                 250,
                 750,
-                IntStream.range(0, DRAWS).map(draw -> backoff.nextDelayMs(0, 2000)).summaryStatistics());
+                IntStream.range(0, DRAWS)
+                        .map(draw -> backoff.nextDelayMs(0, 2000))
+                        .summaryStatistics());
         assertBetween(
-                50, 150, IntStream.range(0, DRAWS).map(draw -> backoff.nextDelayMs(0, 10)).summaryStatistics());
+                50,
+                150,
+                IntStream.range(0, DRAWS)
+                        .map(draw -> backoff.nextDelayMs(0, 10))
+                        .summaryStatistics());
         int delayMs = backoff.nextDelayMs(0, 0);
         assertTrue(delayMs >= 50 && delayMs < 150, "doubling starts once no time is left: " + delayMs);
     }
--- a/proxy/src/test/java/cacheproxy/server/Child.java
+++ b/proxy/src/test/java/cacheproxy/server/Child.java
@@ -50,6 +50,7 @@
         int sockets = 1024;
         /** Whether nobody reads standard error, so that its pipe can fill. */
         boolean errorOutputUnread;
+
         int port;
         /** Environment variables besides those that every start needs. */
         Map<String, String> env = Map.of();
@@ -154,8 +155,8 @@
     void until(String what, BooleanSupplier done) throws InterruptedException {
         for (long deadlineNs = System.nanoTime() + MAX_WAIT_NS; !done.getAsBoolean(); Thread.sleep(1)) {
             if (!process.isAlive()) {
-                throw new AssertionError(what + ": the process has exited with " + process.exitValue()
-                        + "; standard error: " + said);
+                throw new AssertionError(
+                        what + ": the process has exited with " + process.exitValue() + "; standard error: " + said);
             }
             if (System.nanoTime() > deadlineNs) {
                 throw new AssertionError(what + ": did not happen; standard error: " + said);
--- a/proxy/src/test/java/cacheproxy/server/DiscoveryTest.java
+++ b/proxy/src/test/java/cacheproxy/server/DiscoveryTest.java
@@ -14,7 +14,9 @@
     /** Has a request served by a node, on {@code openConnection} or, if that is null, on a new connection. */
     private static Peer serve(Fixture fixture, Peer client, String id, int node, Peer openConnection) throws Exception {
         client.send(Fixture.read(id, 4000));
-        Peer connection = openConnection != null ? openConnection : fixture.nodes.get(node).next();
+        Peer connection = openConnection != null
+                ? openConnection
+                : fixture.nodes.get(node).next();
         assertTrue(connection.line().startsWith("mg 7f3a9c21e0b4d655 v O" + id + " "));
         connection.send("VA 1 O" + id + "\r\n1\r\n");
         client.expect("VA 1 O" + id, "1");
@@ -66,7 +68,9 @@
             watch.expectEnd();
             assertEquals(
                     1,
-                    fixture.loop.submit(() -> fixture.proxy.discovery.numberedEndpoints()).get());
+                    fixture.loop
+                            .submit(() -> fixture.proxy.discovery.numberedEndpoints())
+                            .get());
         }
     }
 
@@ -93,7 +97,8 @@
         try (Fixture fixture = new Fixture(1)) {
             Peer watch = fixture.watch();
             Fixture.chunk(watch, Fixture.list(5, true, fixture.entry(0, "SERVING")));
-            Fixture.chunk(watch, Fixture.list(6, true, fixture.entry(0, "DRAINING").replace("127.0.0.1", "nowhere")));
+            Fixture.chunk(
+                    watch, Fixture.list(6, true, fixture.entry(0, "DRAINING").replace("127.0.0.1", "nowhere")));
             watch.expectEnd();
             serve(fixture, fixture.client(), "a1", 0, null);
             assertEquals("GET /registry/instances?stream=1&index=5 HTTP/1.1", requestLine(fixture.discovery.next()));
--- a/proxy/src/test/java/cacheproxy/server/IndentedListTest.java
+++ b/proxy/src/test/java/cacheproxy/server/IndentedListTest.java
@@ -55,7 +55,8 @@
         try (Fixture fixture = new Fixture(1)) {
             Peer node = idleConnection(fixture);
             Peer watch = fixture.watch();
-            for (char character : INDENTED.formatted(fixture.nodes.get(0).address()).toCharArray()) {
+            for (char character :
+                    INDENTED.formatted(fixture.nodes.get(0).address()).toCharArray()) {
                 sendChunk(watch, String.valueOf(character));
             }
             node.expectEnd();
--- a/proxy/src/test/java/cacheproxy/server/JitWarmUpTest.java
+++ b/proxy/src/test/java/cacheproxy/server/JitWarmUpTest.java
@@ -93,12 +93,11 @@
     void acceptsNonAsciiNames() throws Exception {
         List<String> logLines = new ArrayList<>();
         try (Fixture fixture = new Fixture(
-                1,
-                settings -> settings.replace("\"lookup\"", "\"búsqueda\"").replace("\"acme\"", "\"コート\""),
-                1024)) {
+                1, settings -> settings.replace("\"lookup\"", "\"búsqueda\"").replace("\"acme\"", "\"コート\""), 1024)) {
             int served = JitWarmUp.run(fixture.config, fixture.loop, new Log(System::nanoTime, logLines::add));
             assertTrue(served > JitWarmUp.REQUESTS * 2 / 3, "served " + served + " " + logLines);
-            String request = Fixture.read("a1", 4000).replace("lookup", "búsqueda").replace("acme", "コート");
+            String request =
+                    Fixture.read("a1", 4000).replace("lookup", "búsqueda").replace("acme", "コート");
             byte[] requestBytes = request.getBytes(java.nio.charset.StandardCharsets.UTF_8);
             Peer client = fixture.client();
             client.socket.getOutputStream().write(requestBytes);
--- a/proxy/src/test/java/cacheproxy/server/ListedTest.java
+++ b/proxy/src/test/java/cacheproxy/server/ListedTest.java
@@ -85,9 +85,12 @@
                         true,
                         created.entry(0, "SERVING") + "," + created.entry(1, "SERVING") + ","
                                 + created.entry(2, "SERVING") + ","
-                                + entry.apply(3).replace("AT", created.nodes.get(3).address()) + ","
-                                + entry.apply(4).replace("AT", created.nodes.get(4).address()) + ","
-                                + entry.apply(5).replace("AT", created.nodes.get(5).address())))) {
+                                + entry.apply(3)
+                                        .replace("AT", created.nodes.get(3).address()) + ","
+                                + entry.apply(4)
+                                        .replace("AT", created.nodes.get(4).address()) + ","
+                                + entry.apply(5)
+                                        .replace("AT", created.nodes.get(5).address())))) {
             Arrivals arrivals = new Arrivals(fixture);
             Peer client = fixture.client();
             int retries = 0;
@@ -140,8 +143,7 @@
     void appliesLaterOfTwoEntriesForOneNode() throws Exception {
         try (Fixture fixture = new Fixture(1)) {
             Fixture.toldAndEnded(
-                    fixture.watch(),
-                    Fixture.list(2, false, fixture.entry(0, "DELETED"), fixture.entry(0, "SERVING")));
+                    fixture.watch(), Fixture.list(2, false, fixture.entry(0, "DELETED"), fixture.entry(0, "SERVING")));
             serveRead(fixture.client(), new Arrivals(fixture), "a1", new int[1]);
         }
     }
--- a/proxy/src/test/java/cacheproxy/server/ProcessTest.java
+++ b/proxy/src/test/java/cacheproxy/server/ProcessTest.java
@@ -251,8 +251,7 @@
                 boolean served = trySending(child, client, connection, "a" + requests);
                 expectServed = System.nanoTime() - sigtermNs < 400_000_000L;
                 assertTrue(
-                        served || !expectServed,
-                        "rejected within 0.4 s of SIGTERM, after " + requests + " requests");
+                        served || !expectServed, "rejected within 0.4 s of SIGTERM, after " + requests + " requests");
             }
             client.close();
             assertEquals(0, child.ends(6));
@@ -369,8 +368,7 @@
             int addressChangedAt = reload(
                     child,
                     original.replace(
-                            "{\"name\":\"n0\"",
-                            "{\"discovery\":\"" + newDiscovery.address() + "\",\"name\":\"n0\""));
+                            "{\"name\":\"n0\"", "{\"discovery\":\"" + newDiscovery.address() + "\",\"name\":\"n0\""));
             int settingsChangedAt = reload(
                     child,
                     original.replace("\"maxAttempts\":4", "\"maxAttempts\":3")
@@ -378,7 +376,8 @@
             child.says(settingsChangedAt, "needs a restart:");
             assertEquals(
                     0,
-                    restartLines(child, addressChangedAt).size() - restartLines(child, settingsChangedAt).size(),
+                    restartLines(child, addressChangedAt).size()
+                            - restartLines(child, settingsChangedAt).size(),
                     "a new address of discovery needs no restart: " + child.said);
             String logged = String.join("\n", restartLines(child, settingsChangedAt));
             assertTrue(logged.contains("settings.caps.maxAttempts"), logged);
--- a/proxy/src/test/java/cacheproxy/server/ProxyConfigurationTest.java
+++ b/proxy/src/test/java/cacheproxy/server/ProxyConfigurationTest.java
@@ -73,10 +73,12 @@
         assertTrue(rejectionMessage(missingFile).contains("LB_CONFIG"));
         assertTrue(rejectionMessage(environment("{\"name\":")).contains("JSON"));
         assertTrue(rejectionMessage(environment("[]")).contains("JSON"));
-        assertTrue(rejectionMessage(environment(valid.replace("\"settings\"", "\"sittings\""))).contains("settings"));
-        assertTrue(rejectionMessage(environment(valid.replace("8c1f30d27a5be964", "seed"))).contains("seed"));
-        assertTrue(
-                rejectionMessage(environment(valid.replace("\"sockets\":1024", "\"sockets\":3"))).contains("sockets"));
+        assertTrue(rejectionMessage(environment(valid.replace("\"settings\"", "\"sittings\"")))
+                .contains("settings"));
+        assertTrue(rejectionMessage(environment(valid.replace("8c1f30d27a5be964", "seed")))
+                .contains("seed"));
+        assertTrue(rejectionMessage(environment(valid.replace("\"sockets\":1024", "\"sockets\":3")))
+                .contains("sockets"));
         assertTrue(rejectionMessage(environment(valid.replace("\"maxAttempts\":4", "\"maxAttempts\":\"x\"")))
                 .contains("maxAttempts"));
     }
--- a/proxy/src/test/java/cacheproxy/server/ReloadTest.java
+++ b/proxy/src/test/java/cacheproxy/server/ReloadTest.java
@@ -24,8 +24,8 @@
 
         SighupReload(Fixture fixture) throws IOException {
             Map<String, String> environment = Fixture.env(configurationFile, fixture.discovery.address());
-            ConfigurationReloader reloader = new ConfigurationReloader(
-                    environment, Fixture.log(), fixture.config, fixture.proxy::reload);
+            ConfigurationReloader reloader =
+                    new ConfigurationReloader(environment, Fixture.log(), fixture.config, fixture.proxy::reload);
             ProcessSignals.install().onHup(reloader::request);
         }
 
@@ -59,7 +59,9 @@
 
     private static Peer serve(Fixture fixture, Peer client, String id, int node, Peer openConnection) throws Exception {
         client.send(Fixture.read(id, 4000));
-        Peer connection = openConnection != null ? openConnection : fixture.nodes.get(node).next();
+        Peer connection = openConnection != null
+                ? openConnection
+                : fixture.nodes.get(node).next();
         assertTrue(connection.line().startsWith("mg 7f3a9c21e0b4d655 v O" + id + " "));
         connection.send("VA 1 O" + id + "\r\n1\r\n");
         client.expect("VA 1 O" + id, "1");
--- a/proxy/src/test/java/cacheproxy/server/StartOrderTest.java
+++ b/proxy/src/test/java/cacheproxy/server/StartOrderTest.java
@@ -140,8 +140,7 @@
                 1024,
                 created -> Fixture.list(7, true, created.entry(0, "DRAINING"), created.entry(1, "SERVING")))) {
             Fixture.toldAndEnded(
-                    fixture.watch(),
-                    Fixture.list(6, true, fixture.entry(0, "SERVING"), fixture.entry(1, "SERVING")));
+                    fixture.watch(), Fixture.list(6, true, fixture.entry(0, "SERVING"), fixture.entry(1, "SERVING")));
             assertEquals(
                     0, requestsByNode(fixture, new Arrivals(fixture), "a", 20)[0], "request sent to a draining node");
         }
