--- a/proxy/src/test/java/cacheproxy/server/ReloadTest.java
+++ b/proxy/src/test/java/cacheproxy/server/ReloadTest.java
@@ -81,7 +81,7 @@
             oldWatch.close(); // the old service stops before the new one has sent a list: the list held stays in use
             Peer client = fixture.client();
             Peer node = serve(fixture, client, "a1", 0, null);
-            Fixture.chunk(newWatch, Fixture.list(3, true, fixture.entry(1, "SERVING"))); // versions restart
+            Fixture.chunk(newWatch, Fixture.list(3, true, fixture.entry(1, "SERVING"))); // a version of its own
             node.expectEnd();
             serve(fixture, client, "a2", 1, null);
             assertEquals(1, fixture.discovery.count());
