--- a/fleet/src/main/java/cacheproxy/agent/Agent.java
+++ b/fleet/src/main/java/cacheproxy/agent/Agent.java
@@ -30,8 +30,9 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Keeps a declared site on this machine. One thread runs the core ({@link Supervisor}) and writes the journal; what
- * blocks (starting, asking, searching) is done by a few others, which tell the first. Instances outlive it.
+ * Runs the instances of a declared site on this machine. One thread runs the {@link Supervisor} and writes the journal.
+ * Blocking work (starting processes, health checks, searches) runs on worker threads, which post their results to that
+ * thread. Instances keep running after the agent has ended.
  */
 public final class Agent implements SupervisorActions {
     private static final int WORKERS = 16;
@@ -39,66 +40,67 @@
     private static final long TICK_INTERVAL_MS = 100;
     private static final long EXIT_CHECK_INTERVAL_MS = 250;
     private static final long HOUSEKEEPING_INTERVAL_MS = 10_000;
-    private static final int COMPACT_LINES = 2_000;
-    /** Exit codes from here on: ended by a signal, with nothing said. */
+    private static final int MIN_LINES_TO_COMPACT = 2_000;
+    /** Exit codes from here on mean that a signal ended the process, so its log holds no reason. */
     private static final int FIRST_SIGNAL_EXIT_CODE = 128;
 
     private final StateFolder stateFolder;
     private final InstanceLock lock;
-    private final ProcFs proc = new ProcFs(Path.of("/proc"));
+    private final ProcFs procFs = new ProcFs(Path.of("/proc"));
     private final Launcher launcher;
     private final InstanceClient instanceClient = new InstanceClient();
     private final EventLog events;
     private final Journal journal;
-    private final Supervisor core;
-    private final ScheduledExecutorService main = Executors.newSingleThreadScheduledExecutor(r -> thread(r, "agent"));
-    private final ThreadPoolExecutor work = new ThreadPoolExecutor(
+    private final Supervisor supervisor;
+    private final ScheduledExecutorService supervisorThread =
+            Executors.newSingleThreadScheduledExecutor(r -> thread(r, "agent"));
+    private final ThreadPoolExecutor workers = new ThreadPoolExecutor(
             WORKERS, WORKERS, 10, TimeUnit.SECONDS, new ArrayBlockingQueue<>(MAX_QUEUED_TASKS), r -> thread(r, "work"));
     private final ControlServer server;
-    /** Null: nobody from elsewhere is listened to. */
+    /** Null if remote access is not configured. */
     private final ControlServer remoteServer;
 
     private final CountDownLatch listening = new CountDownLatch(1);
-    /** Read by workers too; replaced whole. */
+    /** Also read by worker threads; the map is immutable and replaced as a whole. */
     private volatile Map<String, DeclaredInstance> declared = Map.of();
 
     private String siteText;
     private String siteName = "";
-    /** Starts of this agent's own: the JVM waits for these, and tells their codes. */
+    /** Start numbers of child processes of this agent; the JVM reports their exit codes. */
     private final Map<String, Integer> children = new ConcurrentHashMap<>();
-    /** What each said last, with when. */
+    /** The last status reported by each instance. */
     private final Map<String, Map<String, Object>> lastStatus = new ConcurrentHashMap<>();
 
     private boolean journalFails;
-    /** What the journal had after it was compacted last. */
+    /** Number of lines in the journal after the last compaction. */
     private int linesAfterCompaction;
 
     private final long startedNs = System.nanoTime();
 
     private Agent(Path folder, String java, String classPath) throws IOException {
-        proc.checkOwn(ProcessHandle.current().pid());
+        procFs.requireOwnProcessVisible(ProcessHandle.current().pid());
         stateFolder = new StateFolder(folder.toAbsolutePath());
-        stateFolder.make();
+        stateFolder.createMissing();
         lock = InstanceLock.acquire("agent", stateFolder.agentLock());
         RemoteAccess remote = RemoteAccess.read(stateFolder.remote());
-        launcher = new Launcher(stateFolder, proc, java, classPath);
+        launcher = new Launcher(stateFolder, procFs, java, classPath);
         events = new EventLog(stateFolder.events());
-        core = new Supervisor(this);
+        supervisor = new Supervisor(this);
         journal = Journal.open(stateFolder.journal(), entry -> {
             if (entry instanceof JournalRecord.SiteDeclared d) {
                 siteText = d.site();
             } else {
-                core.recall(entry);
+                supervisor.replay(entry);
             }
         });
         events.add("", "agent begins, pid " + ProcessHandle.current().pid());
-        if (!launcher.separates()) {
+        if (!launcher.startsNewSession()) {
             events.add("", "setsid is not there: instances stay in the agent's session and end with it");
         }
-        main.submit(this::begin);
-        every(TICK_INTERVAL_MS, () -> core.tick(now()));
-        every(EXIT_CHECK_INTERVAL_MS, this::checkAdoptedProcesses);
-        every(HOUSEKEEPING_INTERVAL_MS, this::housekeeping);
+        supervisorThread.submit(this::startSupervision);
+        schedulePeriodically(TICK_INTERVAL_MS, () -> supervisor.tick(now()));
+        schedulePeriodically(EXIT_CHECK_INTERVAL_MS, this::checkAdoptedProcesses);
+        schedulePeriodically(HOUSEKEEPING_INTERVAL_MS, this::housekeeping);
         AgentApi api = new AgentApi(this);
         server = ControlServer.open(loop("api"), stateFolder.agentSocket(), api);
         remoteServer = remote == null ? null : remote.open(() -> loop("far"), api);
@@ -115,8 +117,8 @@
     }
 
     /**
-     * Runs one until SIGTERM or SIGINT; instances go on. Where it was begun with SIGINT ignored, as in a script's
-     * background, it stays ignored. Throws {@link InvalidInputException} where it cannot.
+     * Runs an agent until SIGTERM or SIGINT; instances keep running. If the agent was started with SIGINT ignored, as
+     * for a background job of a script, SIGINT stays ignored. Throws {@link InvalidInputException} if it cannot start.
      */
     public static void run(Path folder) {
         try {
@@ -143,12 +145,12 @@
         }
     }
 
-    /** Milliseconds since this agent began. */
+    /** Milliseconds since this agent started. */
     long now() {
         return TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - startedNs);
     }
 
-    private void safely(Runnable task) {
+    private void runLoggingFaults(Runnable task) {
         try {
             task.run();
         } catch (RuntimeException | Error e) {
@@ -157,54 +159,54 @@
         }
     }
 
-    /** On the core's thread. */
-    void onMain(Runnable task) {
-        main.execute(() -> safely(task));
+    /** Runs a task on the supervisor's thread. */
+    void onSupervisorThread(Runnable task) {
+        supervisorThread.execute(() -> runLoggingFaults(task));
     }
 
-    private void every(long ms, Runnable task) {
-        main.scheduleWithFixedDelay(() -> safely(task), ms, ms, TimeUnit.MILLISECONDS);
+    private void schedulePeriodically(long ms, Runnable task) {
+        supervisorThread.scheduleWithFixedDelay(() -> runLoggingFaults(task), ms, ms, TimeUnit.MILLISECONDS);
     }
 
-    void later(long delay, TimeUnit unit, Runnable task) {
-        main.schedule(() -> safely(task), delay, unit);
+    void scheduleOnce(long delay, TimeUnit unit, Runnable task) {
+        supervisorThread.schedule(() -> runLoggingFaults(task), delay, unit);
     }
 
-    private void onWorker(Runnable task, Runnable refused) {
+    private void onWorker(Runnable task, Runnable onRejected) {
         try {
-            work.execute(() -> safely(task));
+            workers.execute(() -> runLoggingFaults(task));
         } catch (RejectedExecutionException e) {
-            onMain(refused);
+            onSupervisorThread(onRejected);
         }
     }
 
-    /** Not before it listens: one whose place is taken ends, and must have started nothing. */
-    private void begin() {
+    /** Waits until the agent listens: if its address is in use, it ends and must not have started an instance. */
+    private void startSupervision() {
         try {
             listening.await();
         } catch (InterruptedException e) {
             return;
         }
-        safely(() -> {
-            core.begin(now());
+        runLoggingFaults(() -> {
+            supervisor.searchForProcesses(now());
             if (siteText != null) {
-                take(SiteFile.parse(siteText));
+                declare(SiteFile.parse(siteText));
             }
         });
     }
 
-    private void take(SiteFile site) {
+    private void declare(SiteFile site) {
         Map<String, DeclaredInstance> named = new LinkedHashMap<>();
         site.instances().forEach(i -> named.put(i.name(), i));
         declared = Map.copyOf(named);
         siteName = site.name();
-        core.declare(now(), site.specs());
+        supervisor.declare(now(), site.specs());
     }
 
-    // ---- for the API, on the core's thread ----
+    // ---- for the API, on the supervisor's thread ----
 
-    Supervisor core() {
-        return core;
+    Supervisor supervisor() {
+        return supervisor;
     }
 
     EventLog events() {
@@ -227,7 +229,7 @@
         return journalFails;
     }
 
-    boolean holdsName() {
+    boolean holdsLock() {
         return lock.isHeld();
     }
 
@@ -239,21 +241,21 @@
         return lastStatus.get(name);
     }
 
-    /** Null: it is taken; else why not. */
+    /** Applies a site. Returns why it was rejected; null if it was applied. */
     String apply(SiteFile site, String text) {
-        if (!note(new JournalRecord.SiteDeclared(text))) {
+        if (!appendToJournal(new JournalRecord.SiteDeclared(text))) {
             return "the journal cannot be written: nothing is changed";
         }
         siteText = text;
         events.add("", "site " + site.name() + " applied: " + site.instances().size() + " instances");
-        take(site);
+        declare(site);
         return null;
     }
 
     // ---- actions of the supervisor ----
 
     @Override
-    public boolean note(JournalRecord entry) {
+    public boolean appendToJournal(JournalRecord entry) {
         Failpoint.pass("before-" + entry.getClass().getSimpleName());
         try {
             journal.append(entry);
@@ -279,51 +281,54 @@
 
     @Override
     public void spawn(String name, int start, String secret) {
-        DeclaredInstance of = declared.get(name);
+        DeclaredInstance instanceDeclaration = declared.get(name);
         children.put(name, start);
         onWorker(
                 () -> {
                     Failpoint.pass("before-fork");
                     try {
-                        UniqueProcessId who = launcher.launch(of, start, secret, code -> ended(name, start, code));
+                        UniqueProcessId process = launcher.launch(
+                                instanceDeclaration, start, secret, code -> ended(name, start, code));
                         Failpoint.pass("after-fork");
-                        onMain(() -> core.spawned(now(), name, start, who));
+                        onSupervisorThread(() -> supervisor.spawned(now(), name, start, process));
                     } catch (IOException e) {
-                        onMain(() -> core.spawnFailed(now(), name, start, String.valueOf(e.getMessage())));
+                        onSupervisorThread(
+                                () -> supervisor.spawnFailed(now(), name, start, String.valueOf(e.getMessage())));
                     }
                 },
-                () -> core.spawnFailed(now(), name, start, "too much to do"));
+                () -> supervisor.spawnFailed(now(), name, start, "too much to do"));
     }
 
-    /** One that ended by itself with an error has said why in its last line. */
+    /** Handles the end of a child process. If it exited with an error, the last line of its log holds the reason. */
     private void ended(String name, int start, int code) {
-        String last = code > 0 && code < FIRST_SIGNAL_EXIT_CODE ? LogRotation.lastLine(stateFolder.log(name)) : "";
-        String why = last.isEmpty() ? "" : "its log ends with '" + last + "'";
-        onMain(() -> core.gone(now(), name, start, code, why));
+        String lastLogLine =
+                code > 0 && code < FIRST_SIGNAL_EXIT_CODE ? LogRotation.lastLine(stateFolder.log(name)) : "";
+        String why = lastLogLine.isEmpty() ? "" : "its log ends with '" + lastLogLine + "'";
+        onSupervisorThread(() -> supervisor.processEnded(now(), name, start, code, why));
     }
 
     @Override
     public void search(String name, int start, UniqueProcessId identity, String secret) {
         onWorker(
                 () -> {
-                    UniqueProcessId who = null;
+                    UniqueProcessId process = null;
                     if (identity != null) {
-                        who = proc.alive(identity) ? identity : null;
+                        process = procFs.isAlive(identity) ? identity : null;
                     } else {
-                        who = proc.withEnvironment(Launcher.mark(name, start, secret));
-                        if (who == null) {
-                            who = answering(name, secret);
+                        process = procFs.findByEnvironmentVariable(Launcher.startVariable(name, start, secret));
+                        if (process == null) {
+                            process = identifyBySocket(name, secret);
                         }
                     }
-                    UniqueProcessId there = who;
-                    onMain(() -> core.found(now(), name, start, there));
+                    UniqueProcessId found = process;
+                    onSupervisorThread(() -> supervisor.searchCompleted(now(), name, start, found));
                 },
-                () -> core.notSearched(now(), name, start));
+                () -> supervisor.searchFailed(now(), name, start));
     }
 
-    private UniqueProcessId answering(String name, String secret) {
+    private UniqueProcessId identifyBySocket(String name, String secret) {
         try {
-            return instanceClient.who(stateFolder.socket(name), name, secret);
+            return instanceClient.identify(stateFolder.socket(name), name, secret);
         } catch (IOException e) {
             return null;
         }
@@ -345,14 +350,14 @@
 
     @Override
     public void probe(String name, int start) {
-        Instance instance = core.instance(name);
-        DeclaredInstance of = declared.get(name);
+        Instance instance = supervisor.instance(name);
+        DeclaredInstance instanceDeclaration = declared.get(name);
         String secret = instance.secret();
         UniqueProcessId identity = instance.identity();
         onWorker(
                 () -> {
                     try {
-                        if (proc.stopped(identity.pid())) {
+                        if (procFs.isStopped(identity.pid())) {
                             throw new IOException("stopped: no need to ask");
                         }
                         Map<String, Object> status = instanceClient.status(stateFolder.socket(name), name, secret);
@@ -362,79 +367,80 @@
                             throw new IOException("its loop stands still for " + status.get("stalledMs") + " ms");
                         }
                         boolean ready = phase.equals("ready");
-                        String greeted = ready && of != null && of.greet()
-                                ? instanceClient.greeted(InstanceClient.address(of.listen()))
+                        String greetingFailure = ready && instanceDeclaration != null && instanceDeclaration.greet()
+                                ? instanceClient.greetingFailure(
+                                        InstanceClient.parseAddress(instanceDeclaration.listen()))
                                 : "";
-                        if (!greeted.isEmpty() && proc.stopped(identity.pid())) {
+                        if (!greetingFailure.isEmpty() && procFs.isStopped(identity.pid())) {
                             throw new IOException("stopped between its answer and its greeting");
                         }
                         String digest = status.get("configuration") instanceof Map<?, ?> c && c.get("digest") != null
                                 ? String.valueOf(c.get("digest"))
                                 : "";
-                        onMain(() -> core.probed(now(), name, start, ready, greeted, digest));
+                        onSupervisorThread(() -> supervisor.probed(now(), name, start, ready, greetingFailure, digest));
                     } catch (IOException e) {
-                        String why = proc.stopped(identity.pid()) // the better reason, at whatever point it was met
+                        String why = procFs.isStopped(identity.pid()) // the more precise reason, whichever step failed
                                 ? "its process is stopped (SIGSTOP)"
                                 : String.valueOf(e.getMessage());
-                        onMain(() -> core.probeFailed(now(), name, start, why));
+                        onSupervisorThread(() -> supervisor.probeFailed(now(), name, start, why));
                     }
                 },
-                () -> core.probeFailed(now(), name, start, "the agent has too much to do"));
+                () -> supervisor.probeFailed(now(), name, start, "the agent has too much to do"));
     }
 
     @Override
     public void reload(String name, int start) {
-        DeclaredInstance of = declared.get(name);
-        String secret = core.instance(name).secret();
+        DeclaredInstance instanceDeclaration = declared.get(name);
+        String secret = supervisor.instance(name).secret();
         onWorker(
                 () -> {
                     try {
-                        if (of != null) {
-                            launcher.configure(of);
+                        if (instanceDeclaration != null) {
+                            launcher.writeConfiguration(instanceDeclaration);
                         }
                         Failpoint.pass("mid-reload");
                         String digest = instanceClient.reload(stateFolder.socket(name), name, secret);
-                        onMain(() -> core.reloaded(now(), name, start, true, "", digest));
-                    } catch (InstanceClient.Refused e) {
-                        onMain(() -> core.reloaded(now(), name, start, false, e.getMessage(), ""));
+                        onSupervisorThread(() -> supervisor.reloaded(now(), name, start, true, "", digest));
+                    } catch (InstanceClient.RejectedException e) {
+                        onSupervisorThread(() -> supervisor.reloaded(now(), name, start, false, e.getMessage(), ""));
                     } catch (IOException e) {
                         String why = e.getMessage() == null ? e.toString() : e.getMessage();
-                        onMain(() -> core.reloadFailed(now(), name, start, why));
+                        onSupervisorThread(() -> supervisor.reloadFailed(now(), name, start, why));
                     }
                 },
-                () -> core.reloadFailed(now(), name, start, "the agent has too much to do"));
+                () -> supervisor.reloadFailed(now(), name, start, "the agent has too much to do"));
     }
 
     @Override
-    public void say(String name, String what) {
+    public void logEvent(String name, String what) {
         events.add(name, what);
     }
 
-    // ---- from time to time ----
+    // ---- periodic tasks ----
 
-    /** Those of an earlier agent: nobody here waits for them, their ends are looked for. */
+    /** Detects the end of processes started by an earlier agent, since the JVM reports only its own children. */
     private void checkAdoptedProcesses() {
-        for (Instance instance : List.copyOf(core.instances())) {
-            Integer mine = children.get(instance.name);
+        for (Instance instance : List.copyOf(supervisor.instances())) {
+            Integer childStart = children.get(instance.name);
             if (instance.identity() != null
-                    && (mine == null || mine != instance.lastStart())
-                    && !proc.alive(instance.identity())) {
-                core.gone(now(), instance.name, instance.lastStart(), -1);
+                    && (childStart == null || childStart != instance.lastStart())
+                    && !procFs.isAlive(instance.identity())) {
+                supervisor.processEnded(now(), instance.name, instance.lastStart(), -1);
             }
         }
     }
 
     private void housekeeping() {
         List<String> names =
-                core.instances().stream().map(instance -> instance.name).toList();
+                supervisor.instances().stream().map(instance -> instance.name).toList();
         lastStatus.keySet().retainAll(names);
         children.keySet().retainAll(names);
         onWorker(
                 () -> {
                     for (String name : names) {
                         try {
-                            if (LogRotation.rotate(stateFolder.log(name), LogRotation.MOST_BYTES)) {
-                                events.add(name, "its log was over " + LogRotation.MOST_BYTES + " bytes: rotated");
+                            if (LogRotation.rotate(stateFolder.log(name), LogRotation.MAX_BYTES)) {
+                                events.add(name, "its log was over " + LogRotation.MAX_BYTES + " bytes: rotated");
                             }
                         } catch (IOException e) {
                             events.add(name, "its log cannot be rotated: " + e.getMessage());
@@ -442,14 +448,14 @@
                     }
                 },
                 () -> {});
-        if (journal.lines() > COMPACT_LINES + Math.max(6 * names.size(), 2 * linesAfterCompaction)) {
+        if (journal.lines() > MIN_LINES_TO_COMPACT + Math.max(6 * names.size(), 2 * linesAfterCompaction)) {
             try {
-                List<JournalRecord> all = new ArrayList<>();
+                List<JournalRecord> snapshot = new ArrayList<>();
                 if (siteText != null) {
-                    all.add(new JournalRecord.SiteDeclared(siteText));
+                    snapshot.add(new JournalRecord.SiteDeclared(siteText));
                 }
-                all.addAll(core.snapshot());
-                journal.compact(all);
+                snapshot.addAll(supervisor.snapshot());
+                journal.compact(snapshot);
                 linesAfterCompaction = journal.lines();
             } catch (IOException e) {
                 events.add("", "the journal cannot be compacted: " + e.getMessage());
--- a/fleet/src/main/java/cacheproxy/agent/AgentApi.java
+++ b/fleet/src/main/java/cacheproxy/agent/AgentApi.java
@@ -16,7 +16,7 @@
 import java.util.Map;
 import java.util.concurrent.TimeUnit;
 
-/** Answers the requests of the agent's control channel, on the supervisor's thread, which alone knows the state. */
+/** Answers requests on the agent's control channel; runs on the supervisor's thread, which owns all state. */
 final class AgentApi implements ControlServer.RequestHandler {
     private static final int MAX_SHOWN_CHARS = 80;
     private static final int MAX_EVENTS = 500;
@@ -36,7 +36,7 @@
 
     @Override
     public void handle(String op, Map<String, Object> request, ControlServer.Reply reply) {
-        agent.onMain(() -> {
+        agent.onSupervisorThread(() -> {
             try {
                 answer(op, request, reply);
             } catch (InvalidInputException e) {
@@ -55,10 +55,12 @@
                         "site", site.name(), "instances", site.instances().size()));
             }
             case "apply" -> apply(request, reply);
-            case "start" -> each(request, reply, name -> agent.core().want(agent.now(), name, true));
-            case "stop" -> each(request, reply, name -> agent.core().want(agent.now(), name, false));
-            case "restart" -> each(request, reply, name -> agent.core().restart(agent.now(), name));
-            case "reload" -> each(request, reply, name -> agent.core().reload(agent.now(), name));
+            case "start" -> applyToEach(
+                    request, reply, name -> agent.supervisor().setDesiredState(agent.now(), name, true));
+            case "stop" -> applyToEach(
+                    request, reply, name -> agent.supervisor().setDesiredState(agent.now(), name, false));
+            case "restart" -> applyToEach(request, reply, name -> agent.supervisor().restart(agent.now(), name));
+            case "reload" -> applyToEach(request, reply, name -> agent.supervisor().reload(agent.now(), name));
             case "roll" -> roll(request, reply);
             case "events" -> {
                 boolean follow = Boolean.TRUE.equals(request.get("follow"));
@@ -67,18 +69,19 @@
             case "log" -> log(request, reply);
             case "end" -> {
                 reply.end(Map.of("pid", ProcessHandle.current().pid()));
-                agent.later(FOLLOW_INTERVAL_MS, TimeUnit.MILLISECONDS, () -> new Thread(() -> System.exit(0)).start());
+                agent.scheduleOnce(
+                        FOLLOW_INTERVAL_MS, TimeUnit.MILLISECONDS, () -> new Thread(() -> System.exit(0)).start());
             }
             default -> reply.fail("no such operation: " + op);
         }
     }
 
     private interface InstanceOperation {
-        /** Returns why it is not done; null: it is. */
+        /** Returns why the operation was rejected; null if it was accepted. */
         String apply(String name);
     }
 
-    private void each(Map<String, Object> request, ControlServer.Reply reply, InstanceOperation operation) {
+    private void applyToEach(Map<String, Object> request, ControlServer.Reply reply, InstanceOperation operation) {
         Map<String, Object> results = new LinkedHashMap<>();
         for (String name : names(request)) {
             String why = operation.apply(name);
@@ -87,24 +90,25 @@
         reply.end(Map.of("results", results));
     }
 
-    /** Those named, or all of the site where none is. */
+    /** The instances named in the request, or all instances if the list is empty. */
     private List<String> names(Map<String, Object> request) {
-        if (!(request.get("names") instanceof List<?> asked)) {
+        if (!(request.get("names") instanceof List<?> requestedNames)) {
             throw new InvalidInputException(
-                    "names: a list is needed, empty for all, not " + shown(request.get("names")));
+                    "names: a list is needed, empty for all, not " + shorten(request.get("names")));
         }
         List<String> names = new ArrayList<>();
-        asked.forEach(n -> names.add(String.valueOf(n)));
+        requestedNames.forEach(name -> names.add(String.valueOf(name)));
         if (names.isEmpty()) {
-            agent.core().instances().forEach(instance -> names.add(instance.name));
+            agent.supervisor().instances().forEach(instance -> names.add(instance.name));
         }
         return names;
     }
 
     private void roll(Map<String, Object> request, ControlServer.Reply reply) {
-        String why = agent.core().roll(agent.now(), names(request), (int) number(request, "mostDown", 1));
+        String why = agent.supervisor()
+                .beginRollingRestart(agent.now(), names(request), (int) number(request, "mostDown", 1));
         if (why == null) {
-            reply.end(Map.of("rolling", String.valueOf(agent.core().rolling())));
+            reply.end(Map.of("rolling", String.valueOf(agent.supervisor().rollingRestartProgress())));
         } else {
             reply.fail(why);
         }
@@ -113,7 +117,7 @@
     private void apply(Map<String, Object> request, ControlServer.Reply reply) {
         String text = text(request, "site");
         SiteFile site = SiteFile.parse(text);
-        SiteComparison comparison = SiteComparison.of(site, agent.core());
+        SiteComparison comparison = SiteComparison.of(site, agent.supervisor());
         if (!Boolean.TRUE.equals(request.get("dry"))) {
             String why = agent.apply(site, text);
             if (why != null) {
@@ -133,11 +137,11 @@
         if (agent.journalFails()) {
             list.put("trouble", "the journal cannot be written");
         }
-        List<Object> all = new ArrayList<>();
-        agent.core().instances().forEach(instance -> all.add(report(instance)));
-        list.put("instances", all);
-        if (agent.core().rolling() != null) {
-            list.put("rolling", agent.core().rolling());
+        List<Object> reports = new ArrayList<>();
+        agent.supervisor().instances().forEach(instance -> reports.add(report(instance)));
+        list.put("instances", reports);
+        if (agent.supervisor().rollingRestartProgress() != null) {
+            list.put("rolling", agent.supervisor().rollingRestartProgress());
         }
         return list;
     }
@@ -147,91 +151,92 @@
     }
 
     private void status(Map<String, Object> request, ControlServer.Reply reply) {
-        List<Object> all = new ArrayList<>();
+        List<Object> reports = new ArrayList<>();
         for (String name : names(request)) {
-            Instance instance = agent.core().instance(name);
+            Instance instance = agent.supervisor().instance(name);
             if (instance == null) {
                 reply.fail("no instance is named " + name);
                 return;
             }
             Map<String, Object> report = report(instance);
-            Map<String, Object> told = agent.lastStatus(name);
-            if (told != null && instance.state().mayRun()) {
-                report.put("told", told);
+            Map<String, Object> lastStatus = agent.lastStatus(name);
+            if (lastStatus != null && instance.state().mayRun()) {
+                report.put("told", lastStatus);
             }
-            all.add(report);
+            reports.add(report);
         }
-        reply.end(Map.of("site", agent.siteName(), "instances", all));
+        reply.end(Map.of("site", agent.siteName(), "instances", reports));
     }
 
     private void events(long from, boolean follow, ControlServer.Reply reply) {
-        List<Object> some = new ArrayList<>();
-        long next = Math.min(Math.max(1, from), agent.events().next()); // beyond the last: what comes next
-        for (EventLog.Event e : agent.events().from(next, MAX_EVENTS)) {
-            some.add(e.object());
-            next = e.number() + 1;
-        }
-        Map<String, Object> told = Map.of("events", some, "next", next);
-        if (!follow && some.size() < MAX_EVENTS) {
-            reply.end(told);
+        List<Object> selected = new ArrayList<>();
+        // a number beyond the last event selects the next event
+        long next = Math.min(Math.max(1, from), agent.events().nextNumber());
+        for (EventLog.Event event : agent.events().from(next, MAX_EVENTS)) {
+            selected.add(event.toMap());
+            next = event.number() + 1;
+        }
+        Map<String, Object> page = Map.of("events", selected, "next", next);
+        if (!follow && selected.size() < MAX_EVENTS) {
+            reply.end(page);
             return;
         }
-        if (!some.isEmpty()) {
-            reply.part(told);
+        if (!selected.isEmpty()) {
+            reply.part(page);
         }
-        long then = next;
+        long nextEvent = next;
         if (reply.isOpen()) {
-            agent.later(FOLLOW_INTERVAL_MS, TimeUnit.MILLISECONDS, () -> events(then, follow, reply));
+            agent.scheduleOnce(FOLLOW_INTERVAL_MS, TimeUnit.MILLISECONDS, () -> events(nextEvent, follow, reply));
         }
     }
 
-    /** The end of an instance's log, or what came after a place in it. */
+    /** Returns the end of an instance's log, or the part after a given offset. */
     private void log(Map<String, Object> request, ControlServer.Reply reply) {
         String name = text(request, "name");
-        if (agent.core().instance(name) == null) {
+        if (agent.supervisor().instance(name) == null) {
             reply.fail("no instance is named " + name);
             return;
         }
         Path file = agent.stateFolder().log(name);
         long from = number(request, "from", -1);
-        int most = (int) Math.max(0, Math.min(MAX_LOG_BYTES, number(request, "bytes", 16 << 10)));
+        int maxBytes = (int) Math.max(0, Math.min(MAX_LOG_BYTES, number(request, "bytes", 16 << 10)));
         try {
             long size = Files.exists(file) ? Files.size(file) : 0;
-            // one that is shorter than it was has been rotated
-            long at = from < 0 ? Math.max(0, size - most) : from > size ? 0 : from;
-            byte[] bytes = new byte[(int) Math.min(most, size - at)];
+            // an offset beyond the end means that the file was rotated
+            long offset = from < 0 ? Math.max(0, size - maxBytes) : from > size ? 0 : from;
+            byte[] bytes = new byte[(int) Math.min(maxBytes, size - offset)];
             if (bytes.length > 0) {
                 try (RandomAccessFile in = new RandomAccessFile(file.toFile(), "r")) {
-                    in.seek(at);
+                    in.seek(offset);
                     in.readFully(bytes);
                 }
             }
-            reply.end(Map.of("text", new String(bytes, StandardCharsets.UTF_8), "next", at + bytes.length));
+            reply.end(Map.of("text", new String(bytes, StandardCharsets.UTF_8), "next", offset + bytes.length));
         } catch (IOException e) {
             reply.fail("its log cannot be read: " + e.getMessage());
         }
     }
 
     private static String text(Map<String, Object> request, String field) {
-        if (request.get(field) instanceof String s) {
-            return s;
+        if (request.get(field) instanceof String string) {
+            return string;
         }
-        throw new InvalidInputException(field + ": a text is needed, not " + shown(request.get(field)));
+        throw new InvalidInputException(field + ": a text is needed, not " + shorten(request.get(field)));
     }
 
-    private static long number(Map<String, Object> request, String field, long usual) {
-        Object o = request.get(field);
-        if (o == null) {
-            return usual;
+    private static long number(Map<String, Object> request, String field, long defaultValue) {
+        Object value = request.get(field);
+        if (value == null) {
+            return defaultValue;
         }
-        if (o instanceof Number n) {
-            return n.longValue();
+        if (value instanceof Number number) {
+            return number.longValue();
         }
-        throw new InvalidInputException(field + ": a number is needed, not " + shown(o));
+        throw new InvalidInputException(field + ": a number is needed, not " + shorten(value));
     }
 
-    /** A value as an error message shows it: a request may hold one of any length. */
-    private static String shown(Object value) {
+    /** Shortens a value for an error message, since values in a request can have any length. */
+    private static String shorten(Object value) {
         String text = String.valueOf(value);
         return text.length() > MAX_SHOWN_CHARS ? text.substring(0, MAX_SHOWN_CHARS) + "..." : text;
     }
--- a/fleet/src/main/java/cacheproxy/agent/EventLog.java
+++ b/fleet/src/main/java/cacheproxy/agent/EventLog.java
@@ -12,25 +12,25 @@
 import java.util.List;
 import java.util.Map;
 
-/** What has happened, the last of it in memory with numbers, all of it in a file within bounds. */
+/** The event log: recent events are kept in memory with their numbers, all are written to a file that is rotated. */
 final class EventLog {
-    private static final int MOST = 5_000;
+    private static final int MAX_EVENTS_IN_MEMORY = 5_000;
 
-    /** One happening; name is empty for the agent itself. */
+    /** An event; {@code name} is empty for the agent itself. */
     record Event(long number, String time, String name, String what) {
-        Map<String, Object> object() {
-            Map<String, Object> o = new LinkedHashMap<>();
-            o.put("number", number);
-            o.put("time", time);
-            o.put("name", name);
-            o.put("what", what);
-            return o;
+        Map<String, Object> toMap() {
+            Map<String, Object> map = new LinkedHashMap<>();
+            map.put("number", number);
+            map.put("time", time);
+            map.put("name", name);
+            map.put("what", what);
+            return map;
         }
     }
 
     private final Path file;
-    private final ArrayDeque<Event> last = new ArrayDeque<>();
-    private long next = 1;
+    private final ArrayDeque<Event> recent = new ArrayDeque<>();
+    private long nextNumber = 1;
 
     EventLog(Path file) {
         this.file = file;
@@ -39,36 +39,36 @@
     synchronized void add(String name, String what) {
         String time = Instant.now().truncatedTo(ChronoUnit.MILLIS).toString();
         String line = what.replaceAll("[\\p{Cc}\\p{Cf}\\p{Zl}\\p{Zp}]", "?");
-        Event e = new Event(next++, time, name, line);
-        last.add(e);
-        if (last.size() > MOST) {
-            last.poll();
+        Event event = new Event(nextNumber++, time, name, line);
+        recent.add(event);
+        if (recent.size() > MAX_EVENTS_IN_MEMORY) {
+            recent.poll();
         }
         notifyAll();
         try {
-            LogRotation.rotate(file, LogRotation.MOST_BYTES);
+            LogRotation.rotate(file, LogRotation.MAX_BYTES);
             Files.writeString(
                     file,
                     time + " " + (name.isEmpty() ? "agent" : name) + " " + line + "\n",
                     StandardOpenOption.CREATE,
                     StandardOpenOption.APPEND);
-        } catch (IOException full) {
-            // a full disk: those in memory are told on
+        } catch (IOException e) {
+            // for example a full disk: events remain available from memory
         }
     }
 
-    /** Those with a number of at least this, the first so many. */
-    synchronized List<Event> from(long number, int most) {
-        List<Event> some = new ArrayList<>();
-        for (Event e : last) {
-            if (e.number >= number && some.size() < most) {
-                some.add(e);
+    /** Up to {@code maxEvents} events, starting at this number. */
+    synchronized List<Event> from(long number, int maxEvents) {
+        List<Event> selected = new ArrayList<>();
+        for (Event event : recent) {
+            if (event.number >= number && selected.size() < maxEvents) {
+                selected.add(event);
             }
         }
-        return some;
+        return selected;
     }
 
-    synchronized long next() {
-        return next;
+    synchronized long nextNumber() {
+        return nextNumber;
     }
 }
--- a/fleet/src/main/java/cacheproxy/agent/Failpoint.java
+++ b/fleet/src/main/java/cacheproxy/agent/Failpoint.java
@@ -1,29 +1,29 @@
 package cacheproxy.agent;
 
 /**
- * For tests of the agent's death: {@code -Dcacheproxy.failpoint=NAME:N} ends the process at once when it passes the
- * point of that name for the Nth time. Without it a point costs one comparison.
+ * Lets tests kill the agent at a chosen point: {@code -Dcacheproxy.failpoint=NAME:N} halts the process when it passes
+ * the failpoint of that name for the Nth time. Without the property a failpoint costs one comparison.
  */
 final class Failpoint {
-    /** The exit code of one that ended here. */
-    static final int CODE = 99;
+    /** Exit code of a process halted by a failpoint. */
+    static final int EXIT_CODE = 99;
 
-    private static final String WHICH;
-    private static final int NTH;
-    private static int passed;
+    private static final String ARMED_NAME;
+    private static final int ARMED_PASS;
+    private static int passes;
 
     static {
-        String set = System.getProperty("cacheproxy.failpoint", "");
-        int colon = set.indexOf(':');
-        WHICH = colon < 0 ? null : set.substring(0, colon);
-        NTH = colon < 0 ? 0 : Integer.parseInt(set.substring(colon + 1));
+        String property = System.getProperty("cacheproxy.failpoint", "");
+        int colon = property.indexOf(':');
+        ARMED_NAME = colon < 0 ? null : property.substring(0, colon);
+        ARMED_PASS = colon < 0 ? 0 : Integer.parseInt(property.substring(colon + 1));
     }
 
     private Failpoint() {}
 
     static synchronized void pass(String name) {
-        if (WHICH != null && WHICH.equals(name) && ++passed == NTH) {
-            Runtime.getRuntime().halt(CODE);
+        if (ARMED_NAME != null && ARMED_NAME.equals(name) && ++passes == ARMED_PASS) {
+            Runtime.getRuntime().halt(EXIT_CODE);
         }
     }
 }
--- a/fleet/src/main/java/cacheproxy/agent/InstanceClient.java
+++ b/fleet/src/main/java/cacheproxy/agent/InstanceClient.java
@@ -15,17 +15,17 @@
 import java.util.HexFormat;
 import java.util.Map;
 
-/** Asks an instance who and how it is; blocks for as long as it is allowed to. */
+/** Queries an instance over its control channel and its client port; calls block up to their timeout. */
 final class InstanceClient {
-    private static final int ASK_MS = 1_000;
-    private static final int RELOAD_MS = 10_000;
+    private static final int REQUEST_TIMEOUT_MS = 1_000;
+    private static final int RELOAD_TIMEOUT_MS = 10_000;
     private static final byte[] GREETING = {'m', 'n', '\r', '\n'};
 
-    /** It was asked to reload, and says no. */
-    static final class Refused extends IOException {
+    /** The instance rejected a reload. */
+    static final class RejectedException extends IOException {
         private static final long serialVersionUID = 1L;
 
-        Refused(String why) {
+        RejectedException(String why) {
             super(why);
         }
     }
@@ -38,10 +38,10 @@
         return HexFormat.of().formatHex(bytes);
     }
 
-    /** Who answers there, if it proves to be the start with this secret; throws where nobody does. */
-    UniqueProcessId who(Path socket, String name, String secret) throws IOException {
+    /** Identifies the process that answers on a socket; throws if none does or it does not prove to have the secret. */
+    UniqueProcessId identify(Path socket, String name, String secret) throws IOException {
         try (ControlClient client = new ControlClient(socket)) {
-            Map<String, Object> hello = proven(client, name, secret);
+            Map<String, Object> hello = authenticate(client, name, secret);
             if (hello.get("pid") instanceof Number pid
                     && hello.get("startTicks") instanceof Number ticks
                     && hello.get("bootId") instanceof String boot) {
@@ -51,62 +51,62 @@
         }
     }
 
-    private Map<String, Object> proven(ControlClient client, String name, String secret) throws IOException {
+    private Map<String, Object> authenticate(ControlClient client, String name, String secret) throws IOException {
         String nonce = secret();
-        Map<String, Object> ask = ControlCodec.request("hello");
-        ask.put("nonce", nonce);
-        client.send(ask, ASK_MS);
-        Map<String, Object> hello = ok(client.next(ASK_MS));
+        Map<String, Object> request = ControlCodec.request("hello");
+        request.put("nonce", nonce);
+        client.send(request, REQUEST_TIMEOUT_MS);
+        Map<String, Object> hello = requireOk(client.next(REQUEST_TIMEOUT_MS));
         if (!Fingerprint.hmac(secret, name, nonce).equals(hello.get("proof"))) {
             throw new IOException("another process answers on its socket: the proof is wrong");
         }
         return hello;
     }
 
-    private static Map<String, Object> ok(Map<String, Object> reply) throws IOException {
+    private static Map<String, Object> requireOk(Map<String, Object> reply) throws IOException {
         if (!Boolean.TRUE.equals(reply.get("ok"))) {
             throw new IOException(String.valueOf(reply.get("error")));
         }
         return reply;
     }
 
-    /** Its whole status, once it has proven who it is. */
+    /** The status of the instance, after it has proved that it has the secret. */
     Map<String, Object> status(Path socket, String name, String secret) throws IOException {
         try (ControlClient client = new ControlClient(socket)) {
-            proven(client, name, secret);
-            client.send(ControlCodec.request("status"), ASK_MS);
-            return ok(client.next(ASK_MS));
+            authenticate(client, name, secret);
+            client.send(ControlCodec.request("status"), REQUEST_TIMEOUT_MS);
+            return requireOk(client.next(REQUEST_TIMEOUT_MS));
         }
     }
 
-    /** Empty: a client is greeted there; else why not. */
-    String greeted(InetSocketAddress at) {
-        try (Socket s = new Socket()) {
-            s.setSoTimeout(ASK_MS);
-            s.connect(at, ASK_MS);
-            s.getOutputStream().write(GREETING);
-            InputStream in = s.getInputStream();
-            String got = new String(in.readNBytes(GREETING.length), StandardCharsets.ISO_8859_1);
-            return got.equals("MN\r\n") ? "" : "its greeting is answered '" + got.strip() + "'";
+    /** Connects as a client. Returns why the greeting is not answered as expected; empty if it is. */
+    String greetingFailure(InetSocketAddress address) {
+        try (Socket socket = new Socket()) {
+            socket.setSoTimeout(REQUEST_TIMEOUT_MS);
+            socket.connect(address, REQUEST_TIMEOUT_MS);
+            socket.getOutputStream().write(GREETING);
+            InputStream in = socket.getInputStream();
+            String answer = new String(in.readNBytes(GREETING.length), StandardCharsets.ISO_8859_1);
+            return answer.equals("MN\r\n") ? "" : "its greeting is answered '" + answer.strip() + "'";
         } catch (IOException e) {
             return e.getMessage() == null ? e.toString() : e.getMessage();
         }
     }
 
-    /** The digest of the configuration that it took; throws {@link Refused} with the reason if so. */
+    /** Returns the digest of the applied configuration; throws {@link RejectedException} if it was rejected. */
     String reload(Path socket, String name, String secret) throws IOException {
         try (ControlClient client = new ControlClient(socket)) {
-            proven(client, name, secret);
-            client.send(ControlCodec.request("reload"), ASK_MS);
-            Map<String, Object> reply = client.next(RELOAD_MS);
+            authenticate(client, name, secret);
+            client.send(ControlCodec.request("reload"), REQUEST_TIMEOUT_MS);
+            Map<String, Object> reply = client.next(RELOAD_TIMEOUT_MS);
             if (!Boolean.TRUE.equals(reply.get("ok"))) {
-                throw new Refused(String.valueOf(reply.get("error")));
+                throw new RejectedException(String.valueOf(reply.get("error")));
             }
             return String.valueOf(reply.get("digest"));
         }
     }
 
-    static InetSocketAddress address(String text) throws IOException {
+    static InetSocketAddress parseAddress(String text) throws IOException {
         int colon = text.lastIndexOf(':');
         return new InetSocketAddress(
                 InetAddress.getByName(text.substring(0, colon)), Integer.parseInt(text.substring(colon + 1)));
--- a/fleet/src/main/java/cacheproxy/agent/InstanceReport.java
+++ b/fleet/src/main/java/cacheproxy/agent/InstanceReport.java
@@ -5,11 +5,11 @@
 import java.util.LinkedHashMap;
 import java.util.Map;
 
-/** An instance as {@code list} and {@code status} report it on the control channel; programs depend on the keys. */
+/** Formats an instance for {@code list} and {@code status} on the control channel; clients depend on the keys. */
 final class InstanceReport {
     private InstanceReport() {}
 
-    /** @param declared as the site declares it; null: it does not any more */
+    /** @param declared the declaration; null if the instance is no longer declared */
     static Map<String, Object> of(Instance instance, DeclaredInstance declared, long now) {
         Map<String, Object> report = new LinkedHashMap<>();
         report.put("name", instance.name);
--- a/fleet/src/main/java/cacheproxy/agent/Journal.java
+++ b/fleet/src/main/java/cacheproxy/agent/Journal.java
@@ -22,21 +22,22 @@
 import java.util.zip.CRC32C;
 
 /**
- * What the agent has announced and learnt, a line each: the CRC-32C of a JSON object in eight digits, a space, the
- * object. Each is on the disk before {@link #append} returns. Whatever moment a write was torn at, what is before it
- * reads; a line that is spoilt with good ones behind it is no torn write, and is refused with its place.
+ * The agent's journal, one record per line: the CRC-32C of a JSON object in eight hexadecimal digits, a space, the
+ * object. Each record is synced to disk before {@link #append} returns. After a torn write all earlier records remain
+ * readable and the incomplete last line is cut off. A damaged line with valid lines after it is not a torn write; the
+ * journal is then rejected with the position of that line.
  */
 final class Journal implements Closeable {
     static final int VERSION = 1;
     private static final int CRC_DIGITS = 8;
-    private static final int LONGEST_LINE = 4 << 20;
+    private static final int MAX_LINE_BYTES = 4 << 20;
 
     private final Path file;
     private FileChannel channel;
     private long size;
     private int lines;
-    /** The last append may have left a part of a line: it is cut off before the next. */
-    private boolean torn;
+    /** The last append may have left an incomplete line, which is cut off before the next append. */
+    private boolean incompleteLine;
 
     private Journal(Path file, FileChannel channel, long size, int lines) {
         this.file = file;
@@ -46,41 +47,43 @@
     }
 
     /**
-     * Opens it, new where there is none, and hands over what is in it, in order. Throws {@link InvalidInputException}.
+     * Opens the journal, creating it if missing, and passes its records on in order. Throws
+     * {@link InvalidInputException} if it cannot be read.
      */
-    static Journal open(Path file, java.util.function.Consumer<JournalRecord> entries) throws IOException {
-        byte[] all = Files.exists(file) ? Files.readAllBytes(file) : new byte[0];
-        int at = 0;
+    static Journal open(Path file, java.util.function.Consumer<JournalRecord> records) throws IOException {
+        byte[] content = Files.exists(file) ? Files.readAllBytes(file) : new byte[0];
+        int offset = 0;
         int count = 0;
-        while (at < all.length) {
-            int end = at;
-            while (end < all.length && all[end] != '\n') {
+        while (offset < content.length) {
+            int end = offset;
+            while (end < content.length && content[end] != '\n') {
                 end++;
             }
-            Map<String, Object> object = end < all.length ? object(all, at, end) : null;
-            if (object == null) {
-                if (goodBehind(all, at + 1)) {
+            Map<String, Object> fields = end < content.length ? toFields(content, offset, end) : null;
+            if (fields == null) {
+                if (hasValidLineAfter(content, offset + 1)) {
                     throw new InvalidInputException("the journal " + file + " is damaged in line " + (count + 1)
-                            + ", byte " + at
-                            + ", and goes on behind it: restore it, or move it away and stop what runs");
+                            + ", byte " + offset
+                            + ", and has valid lines after it: restore it from a backup, or move it away and stop "
+                            + "the running instances");
                 }
-                if (count == 0 && all.length > header().length) {
+                if (count == 0 && content.length > header().length) {
                     throw new InvalidInputException(file + " is no journal, or one whose first line is damaged");
                 }
-                break; // a torn write, the last thing that an agent did
+                break; // an incomplete last line, torn when an agent died
             }
             if (count == 0) {
-                header(file, object);
+                header(file, fields);
             } else {
-                entries.accept(entry(file, count + 1, object));
+                records.accept(toRecord(file, count + 1, fields));
             }
             count++;
-            at = end + 1;
+            offset = end + 1;
         }
         FileChannel channel = FileChannel.open(file, StandardOpenOption.CREATE, StandardOpenOption.WRITE);
-        channel.truncate(at);
-        channel.position(at);
-        Journal journal = new Journal(file, channel, at, count);
+        channel.truncate(offset);
+        channel.position(offset);
+        Journal journal = new Journal(file, channel, offset, count);
         if (count == 0) {
             journal.write(header());
             journal.syncFolder();
@@ -88,15 +91,15 @@
         return journal;
     }
 
-    /** Whether a whole line begins anywhere behind: the end of the one before it may be what is spoilt. */
-    private static boolean goodBehind(byte[] all, int from) {
+    /** Whether a valid line begins at any later byte; the damage may have hit the newline before it. */
+    private static boolean hasValidLineAfter(byte[] content, int from) {
         int end = from;
-        for (int at = from; at + CRC_DIGITS + 1 < all.length; at++) {
-            if (all[at + CRC_DIGITS] == ' ' && all[at + CRC_DIGITS + 1] == '{') {
-                for (end = Math.max(end, at); end < all.length && all[end] != '\n'; ) {
+        for (int offset = from; offset + CRC_DIGITS + 1 < content.length; offset++) {
+            if (content[offset + CRC_DIGITS] == ' ' && content[offset + CRC_DIGITS + 1] == '{') {
+                for (end = Math.max(end, offset); end < content.length && content[end] != '\n'; ) {
                     end++;
                 }
-                if (end < all.length && object(all, at, end) != null) {
+                if (end < content.length && toFields(content, offset, end) != null) {
                     return true;
                 }
             }
@@ -108,8 +111,8 @@
         return line(Map.of("journal", VERSION));
     }
 
-    private static void header(Path file, Map<String, Object> object) {
-        if (!(object.get("journal") instanceof Number version)) {
+    private static void header(Path file, Map<String, Object> fields) {
+        if (!(fields.get("journal") instanceof Number version)) {
             throw new InvalidInputException(file + " is no journal");
         }
         if (version.intValue() != VERSION) {
@@ -118,14 +121,14 @@
         }
     }
 
-    /** Null where the line is not whole or not what was written. */
-    private static Map<String, Object> object(byte[] all, int from, int to) {
-        if (to - from <= CRC_DIGITS + 1 || all[from + CRC_DIGITS] != ' ') {
+    /** Parses a line; null if it is incomplete or damaged. */
+    private static Map<String, Object> toFields(byte[] content, int from, int to) {
+        if (to - from <= CRC_DIGITS + 1 || content[from + CRC_DIGITS] != ' ') {
             return null;
         }
-        byte[] json = Arrays.copyOfRange(all, from + CRC_DIGITS + 1, to);
-        String told = new String(all, from, CRC_DIGITS, StandardCharsets.ISO_8859_1);
-        if (!told.equals(crc(json))) {
+        byte[] json = Arrays.copyOfRange(content, from + CRC_DIGITS + 1, to);
+        String recordedCrc = new String(content, from, CRC_DIGITS, StandardCharsets.ISO_8859_1);
+        if (!recordedCrc.equals(crc(json))) {
             return null;
         }
         try {
@@ -141,8 +144,8 @@
         return String.format("%08x", crc.getValue());
     }
 
-    private static byte[] line(Map<String, Object> object) throws IOException {
-        byte[] json = JSON.std.asBytes(object);
+    private static byte[] line(Map<String, Object> fields) throws IOException {
+        byte[] json = JSON.std.asBytes(fields);
         byte[] line =
                 Arrays.copyOf((crc(json) + " ").getBytes(StandardCharsets.ISO_8859_1), CRC_DIGITS + 2 + json.length);
         System.arraycopy(json, 0, line, CRC_DIGITS + 1, json.length);
@@ -154,45 +157,45 @@
         return lines;
     }
 
-    /** On the disk when this returns; throws where it could not be put there: then it does not count. */
-    void append(JournalRecord entry) throws IOException {
-        byte[] line = line(object(entry));
-        if (line.length > LONGEST_LINE) {
-            throw new IOException("an entry of " + line.length + " bytes");
+    /** Appends a record and syncs it to disk; if this throws, the record is not part of the journal. */
+    void append(JournalRecord journalRecord) throws IOException {
+        byte[] line = line(toFields(journalRecord));
+        if (line.length > MAX_LINE_BYTES) {
+            throw new IOException("a record of " + line.length + " bytes is too long");
         }
         write(line);
     }
 
     private void write(byte[] line) throws IOException {
-        if (torn) {
+        if (incompleteLine) {
             channel.truncate(size);
             channel.position(size);
-            torn = false;
+            incompleteLine = false;
         }
-        torn = true;
+        incompleteLine = true;
         ByteBuffer out = ByteBuffer.wrap(line);
         while (out.hasRemaining()) {
             channel.write(out);
         }
         channel.force(false);
-        torn = false;
+        incompleteLine = false;
         size += line.length;
         lines++;
     }
 
-    /** Begins anew with these; the old file is there until the new one is whole. */
+    /** Replaces the journal with these records; the old file stays until the new one is complete. */
     void compact(List<JournalRecord> snapshot) throws IOException {
-        Path fresh = file.resolveSibling(file.getFileName() + ".new");
+        Path newFile = file.resolveSibling(file.getFileName() + ".new");
         int count = 0;
         try (FileChannel out = FileChannel.open(
-                fresh, StandardOpenOption.CREATE, StandardOpenOption.WRITE, StandardOpenOption.TRUNCATE_EXISTING)) {
-            List<byte[]> all = new ArrayList<>();
-            all.add(header());
+                newFile, StandardOpenOption.CREATE, StandardOpenOption.WRITE, StandardOpenOption.TRUNCATE_EXISTING)) {
+            List<byte[]> content = new ArrayList<>();
+            content.add(header());
             for (JournalRecord e : snapshot) {
-                all.add(line(object(e)));
+                content.add(line(toFields(e)));
             }
-            for (byte[] l : all) {
-                ByteBuffer b = ByteBuffer.wrap(l);
+            for (byte[] encodedLine : content) {
+                ByteBuffer b = ByteBuffer.wrap(encodedLine);
                 while (b.hasRemaining()) {
                     out.write(b);
                 }
@@ -200,13 +203,13 @@
             }
             out.force(true);
         }
-        Files.move(fresh, file, StandardCopyOption.ATOMIC_MOVE, StandardCopyOption.REPLACE_EXISTING);
-        channel.close(); // it leads to the old file, from which nobody reads any more
+        Files.move(newFile, file, StandardCopyOption.ATOMIC_MOVE, StandardCopyOption.REPLACE_EXISTING);
+        channel.close(); // this channel refers to the old file, which has been replaced
         channel = FileChannel.open(file, StandardOpenOption.WRITE);
         size = channel.size();
         channel.position(size);
         lines = count;
-        torn = false;
+        incompleteLine = false;
         syncFolder();
     }
 
@@ -222,98 +225,99 @@
         channel.close();
     }
 
-    // ---- entries as JSON ----
+    // ---- records as JSON ----
 
-    private static Map<String, Object> object(JournalRecord entry) {
-        Map<String, Object> o = new LinkedHashMap<>();
-        if (entry instanceof JournalRecord.SiteDeclared d) {
-            o.put("declared", d.site());
-        } else if (entry instanceof JournalRecord.DesiredStateSet w) {
-            o.put("wanted", w.name());
-            o.put("running", w.running());
-        } else if (entry instanceof JournalRecord.StartAnnounced i) {
-            o.put("intent", i.name());
-            o.put("start", i.start());
-            o.put("secret", i.secret());
-            o.put("launch", i.launch());
-            o.put("forkMs", i.forkMs());
-        } else if (entry instanceof JournalRecord.ProcessStarted s) {
-            o.put("spawned", s.name());
-            o.put("start", s.start());
-            o.put("pid", s.identity().pid());
-            o.put("startTicks", s.identity().startTicks());
-            o.put("bootId", s.identity().bootId());
-        } else if (entry instanceof JournalRecord.ProcessEnded e) {
-            o.put("ended", e.name());
-            o.put("start", e.start());
-            o.put("code", e.code());
-            o.put("failures", e.failures());
-        } else if (entry instanceof JournalRecord.RollingRestartBegun r) {
-            o.put("roll", r.id());
-            o.put("names", r.names());
-            o.put("mostDown", r.mostDown());
-        } else if (entry instanceof JournalRecord.RollingRestartInstanceBegun t) {
-            o.put("rollTaken", t.id());
-            o.put("name", t.name());
-            o.put("start", t.start());
-        } else if (entry instanceof JournalRecord.RollingRestartInstanceDone d) {
-            o.put("rollDone", d.id());
-            o.put("name", d.name());
-        } else if (entry instanceof JournalRecord.RollingRestartEnded e) {
-            o.put("rollEnded", e.id());
-            o.put("why", e.why());
+    private static Map<String, Object> toFields(JournalRecord journalRecord) {
+        Map<String, Object> fields = new LinkedHashMap<>();
+        if (journalRecord instanceof JournalRecord.SiteDeclared d) {
+            fields.put("declared", d.site());
+        } else if (journalRecord instanceof JournalRecord.DesiredStateSet w) {
+            fields.put("wanted", w.name());
+            fields.put("running", w.running());
+        } else if (journalRecord instanceof JournalRecord.StartAnnounced i) {
+            fields.put("intent", i.name());
+            fields.put("start", i.start());
+            fields.put("secret", i.secret());
+            fields.put("launch", i.launch());
+            fields.put("forkMs", i.forkMs());
+        } else if (journalRecord instanceof JournalRecord.ProcessStarted s) {
+            fields.put("spawned", s.name());
+            fields.put("start", s.start());
+            fields.put("pid", s.identity().pid());
+            fields.put("startTicks", s.identity().startTicks());
+            fields.put("bootId", s.identity().bootId());
+        } else if (journalRecord instanceof JournalRecord.ProcessEnded e) {
+            fields.put("ended", e.name());
+            fields.put("start", e.start());
+            fields.put("code", e.code());
+            fields.put("failures", e.failures());
+        } else if (journalRecord instanceof JournalRecord.RollingRestartBegun r) {
+            fields.put("roll", r.id());
+            fields.put("names", r.names());
+            fields.put("mostDown", r.mostDown());
+        } else if (journalRecord instanceof JournalRecord.RollingRestartInstanceBegun t) {
+            fields.put("rollTaken", t.id());
+            fields.put("name", t.name());
+            fields.put("start", t.start());
+        } else if (journalRecord instanceof JournalRecord.RollingRestartInstanceDone d) {
+            fields.put("rollDone", d.id());
+            fields.put("name", d.name());
+        } else if (journalRecord instanceof JournalRecord.RollingRestartEnded e) {
+            fields.put("rollEnded", e.id());
+            fields.put("why", e.why());
         }
-        return o;
+        return fields;
     }
 
-    private static JournalRecord entry(Path file, int line, Map<String, Object> o) {
+    private static JournalRecord toRecord(Path file, int line, Map<String, Object> fields) {
         try {
-            if (o.get("declared") instanceof String site) {
+            if (fields.get("declared") instanceof String site) {
                 return new JournalRecord.SiteDeclared(site);
-            } else if (o.get("wanted") instanceof String name) {
-                return new JournalRecord.DesiredStateSet(name, (Boolean) o.get("running"));
-            } else if (o.get("intent") instanceof String name) {
+            } else if (fields.get("wanted") instanceof String name) {
+                return new JournalRecord.DesiredStateSet(name, (Boolean) fields.get("running"));
+            } else if (fields.get("intent") instanceof String name) {
                 return new JournalRecord.StartAnnounced(
                         name,
-                        number(o, "start"),
-                        text(o, "secret"),
-                        text(o, "launch"),
-                        o.containsKey("forkMs")
-                                ? number(o, "forkMs")
-                                : SupervisionPolicy.USUAL.forkMs()); // older lines have none
-            } else if (o.get("spawned") instanceof String name) {
-                UniqueProcessId who = new UniqueProcessId(
-                        ((Number) o.get("pid")).longValue(),
-                        ((Number) o.get("startTicks")).longValue(),
-                        text(o, "bootId"));
-                return new JournalRecord.ProcessStarted(name, number(o, "start"), who);
-            } else if (o.get("ended") instanceof String name) {
+                        number(fields, "start"),
+                        text(fields, "secret"),
+                        text(fields, "launch"),
+                        fields.containsKey("forkMs")
+                                ? number(fields, "forkMs")
+                                : SupervisionPolicy.USUAL.forkMs()); // absent in journals of older versions
+            } else if (fields.get("spawned") instanceof String name) {
+                UniqueProcessId identity = new UniqueProcessId(
+                        ((Number) fields.get("pid")).longValue(),
+                        ((Number) fields.get("startTicks")).longValue(),
+                        text(fields, "bootId"));
+                return new JournalRecord.ProcessStarted(name, number(fields, "start"), identity);
+            } else if (fields.get("ended") instanceof String name) {
                 return new JournalRecord.ProcessEnded(
-                        name, number(o, "start"), number(o, "code"), number(o, "failures"));
-            } else if (o.containsKey("roll")) {
+                        name, number(fields, "start"), number(fields, "code"), number(fields, "failures"));
+            } else if (fields.containsKey("roll")) {
                 List<String> names = new ArrayList<>();
-                ((List<?>) o.get("names")).forEach(n -> names.add((String) n));
-                return new JournalRecord.RollingRestartBegun(number(o, "roll"), names, number(o, "mostDown"));
-            } else if (o.containsKey("rollTaken")) {
+                ((List<?>) fields.get("names")).forEach(n -> names.add((String) n));
+                return new JournalRecord.RollingRestartBegun(number(fields, "roll"), names, number(fields, "mostDown"));
+            } else if (fields.containsKey("rollTaken")) {
                 return new JournalRecord.RollingRestartInstanceBegun(
-                        number(o, "rollTaken"), text(o, "name"), number(o, "start"));
-            } else if (o.containsKey("rollDone")) {
-                return new JournalRecord.RollingRestartInstanceDone(number(o, "rollDone"), text(o, "name"));
-            } else if (o.containsKey("rollEnded")) {
-                return new JournalRecord.RollingRestartEnded(number(o, "rollEnded"), text(o, "why"));
+                        number(fields, "rollTaken"), text(fields, "name"), number(fields, "start"));
+            } else if (fields.containsKey("rollDone")) {
+                return new JournalRecord.RollingRestartInstanceDone(number(fields, "rollDone"), text(fields, "name"));
+            } else if (fields.containsKey("rollEnded")) {
+                return new JournalRecord.RollingRestartEnded(number(fields, "rollEnded"), text(fields, "why"));
             }
         } catch (ClassCastException | NullPointerException e) {
-            // said below
+            // reported below
         }
         throw new InvalidInputException(
-                "the journal " + file + " has an entry in line " + line + " that is not known here: " + o.keySet());
+                "the journal " + file + " has an entry in line " + line + " that is not known here: "
+                        + fields.keySet());
     }
 
-    private static int number(Map<String, Object> o, String field) {
-        return ((Number) o.get(field)).intValue();
+    private static int number(Map<String, Object> fields, String field) {
+        return ((Number) fields.get(field)).intValue();
     }
 
-    private static String text(Map<String, Object> o, String field) {
-        return (String) o.get(field);
+    private static String text(Map<String, Object> fields, String field) {
+        return (String) fields.get(field);
     }
 }
--- a/fleet/src/main/java/cacheproxy/agent/Launcher.java
+++ b/fleet/src/main/java/cacheproxy/agent/Launcher.java
@@ -13,97 +13,98 @@
 import java.util.function.IntConsumer;
 
 /**
- * Makes the processes of instances: each in a session of its own, so that neither Ctrl-C nor the end of the agent's
- * session or process group reaches it, with its output in a file and nothing of the agent's environment but what it
- * needs.
+ * Starts the processes of instances. Each process runs in its own session, so that neither Ctrl-C nor the end of the
+ * agent's session or process group affects it. Its output goes to a file, and it inherits only the environment
+ * variables it needs.
  */
 final class Launcher {
-    /** What marks the process of a start until it is known. */
-    static final String MARK = "LB_START";
+    /** Environment variable that identifies the process of a start until its pid is in the journal. */
+    static final String START_VARIABLE = "LB_START";
 
-    private static final List<String> KEPT = List.of("PATH", "HOME", "TMPDIR", "LANG", "LC_ALL", "JAVA_HOME");
+    private static final List<String> INHERITED_VARIABLES =
+            List.of("PATH", "HOME", "TMPDIR", "LANG", "LC_ALL", "JAVA_HOME");
 
-    private final StateFolder layout;
-    private final ProcFs proc;
+    private final StateFolder stateFolder;
+    private final ProcFs procFs;
     private final String java;
     private final String classPath;
-    private final boolean setsid;
+    private final boolean setsidAvailable;
 
-    Launcher(StateFolder layout, ProcFs proc, String java, String classPath) {
-        this.layout = layout;
-        this.proc = proc;
+    Launcher(StateFolder stateFolder, ProcFs procFs, String java, String classPath) {
+        this.stateFolder = stateFolder;
+        this.procFs = procFs;
         this.java = java;
         this.classPath = classPath;
-        setsid = Files.isExecutable(Path.of("/usr/bin/setsid")) || Files.isExecutable(Path.of("/bin/setsid"));
+        setsidAvailable = Files.isExecutable(Path.of("/usr/bin/setsid")) || Files.isExecutable(Path.of("/bin/setsid"));
     }
 
-    static String mark(String name, int start, String secret) {
-        return MARK + "=" + name + "/" + start + "/" + secret;
+    static String startVariable(String name, int start, String secret) {
+        return START_VARIABLE + "=" + name + "/" + start + "/" + secret;
     }
 
-    boolean separates() {
-        return setsid;
+    boolean startsNewSession() {
+        return setsidAvailable;
     }
 
-    /** The configuration as declared, whole or as it was: somebody may read it at any time. */
-    void configure(DeclaredInstance of) throws IOException {
-        if (of.configuration() != null) {
-            Path file = layout.configuration(of.name());
-            Path fresh = file.resolveSibling(file.getFileName() + ".new");
-            Files.writeString(fresh, of.configuration());
-            Files.move(fresh, file, StandardCopyOption.ATOMIC_MOVE, StandardCopyOption.REPLACE_EXISTING);
+    /** Replaces the configuration file atomically, since an instance may read it at any time. */
+    void writeConfiguration(DeclaredInstance declared) throws IOException {
+        if (declared.configuration() != null) {
+            Path file = stateFolder.configuration(declared.name());
+            Path temporaryFile = file.resolveSibling(file.getFileName() + ".new");
+            Files.writeString(temporaryFile, declared.configuration());
+            Files.move(temporaryFile, file, StandardCopyOption.ATOMIC_MOVE, StandardCopyOption.REPLACE_EXISTING);
         }
     }
 
-    List<String> command(DeclaredInstance of) {
+    List<String> command(DeclaredInstance declared) {
         List<String> command = new ArrayList<>();
-        if (setsid) {
+        if (setsidAvailable) {
             command.add("setsid");
         }
         command.add(java);
-        command.addAll(of.jvm());
-        String main = of.program().equals("serve") ? "cacheproxy.app.Main" : "cacheproxy.fleet.Main";
-        command.addAll(List.of("-cp", classPath, main, of.program()));
-        command.addAll(of.arguments());
+        command.addAll(declared.jvm());
+        String main = declared.program().equals("serve") ? "cacheproxy.app.Main" : "cacheproxy.fleet.Main";
+        command.addAll(List.of("-cp", classPath, main, declared.program()));
+        command.addAll(declared.arguments());
         return command;
     }
 
-    private Map<String, String> environment(DeclaredInstance of, int start, String secret) {
-        Map<String, String> env = new java.util.HashMap<>(of.environment());
-        env.put("LB_NAME", of.name());
-        env.put("LB_LISTEN", of.listen());
-        env.put("LB_DISCOVERY", of.discovery());
-        env.put("LB_CONFIG", layout.configuration(of.name()).toString());
-        env.put("LB_CONTROL", layout.socket(of.name()).toString());
-        env.put("LB_SECRET", secret);
-        String mark = mark(of.name(), start, secret);
-        env.put(MARK, mark.substring(MARK.length() + 1));
-        return env;
+    private Map<String, String> environment(DeclaredInstance declared, int start, String secret) {
+        Map<String, String> environment = new java.util.HashMap<>(declared.environment());
+        environment.put("LB_NAME", declared.name());
+        environment.put("LB_LISTEN", declared.listen());
+        environment.put("LB_DISCOVERY", declared.discovery());
+        environment.put("LB_CONFIG", stateFolder.configuration(declared.name()).toString());
+        environment.put("LB_CONTROL", stateFolder.socket(declared.name()).toString());
+        environment.put("LB_SECRET", secret);
+        String startVariable = startVariable(declared.name(), start, secret);
+        environment.put(START_VARIABLE, startVariable.substring(START_VARIABLE.length() + 1));
+        return environment;
     }
 
-    /** {@code ended} is told the exit code, on any thread. */
-    UniqueProcessId launch(DeclaredInstance of, int start, String secret, IntConsumer ended) throws IOException {
-        configure(of);
-        ProcessBuilder b = new ProcessBuilder(command(of));
-        b.environment().keySet().retainAll(KEPT);
-        b.environment().putAll(environment(of, start, secret));
-        File log = layout.log(of.name()).toFile();
-        b.redirectErrorStream(true).redirectOutput(ProcessBuilder.Redirect.appendTo(log));
-        b.redirectInput(new File("/dev/null"));
-        Process process = b.start();
-        process.onExit().thenAccept(p -> ended.accept(p.exitValue()));
-        UniqueProcessId who = proc.identity(process.pid());
-        // gone already: its end tells the rest
-        return who != null ? who : new UniqueProcessId(process.pid(), -1, "");
+    /** Starts a process. {@code ended} receives the exit code, on any thread. */
+    UniqueProcessId launch(DeclaredInstance declared, int start, String secret, IntConsumer ended) throws IOException {
+        writeConfiguration(declared);
+        ProcessBuilder builder = new ProcessBuilder(command(declared));
+        builder.environment().keySet().retainAll(INHERITED_VARIABLES);
+        builder.environment().putAll(environment(declared, start, secret));
+        File log = stateFolder.log(declared.name()).toFile();
+        builder.redirectErrorStream(true).redirectOutput(ProcessBuilder.Redirect.appendTo(log));
+        builder.redirectInput(new File("/dev/null"));
+        Process process = builder.start();
+        process.onExit().thenAccept(exited -> ended.accept(exited.exitValue()));
+        UniqueProcessId identity = procFs.identity(process.pid());
+        // if the process has already ended, its exit is reported through the callback
+        return identity != null ? identity : new UniqueProcessId(process.pid(), -1, "");
     }
 
-    /** A signal to this process and no other that has its pid by now. */
-    boolean signal(UniqueProcessId who, boolean kill) {
-        if (!proc.alive(who)) {
+    /** Signals this process, but not another one that has reused its pid. Returns whether the signal was sent. */
+    boolean signal(UniqueProcessId identity, boolean kill) {
+        if (!procFs.isAlive(identity)) {
             return false;
         }
-        return ProcessHandle.of(who.pid())
-                .map(h -> kill ? h.destroyForcibly() : h.destroy())
+        return ProcessHandle.of(identity.pid())
+                .map(handle -> kill ? handle.destroyForcibly() : handle.destroy())
                 .orElse(false);
     }
 }
--- a/fleet/src/main/java/cacheproxy/agent/ProcFs.java
+++ b/fleet/src/main/java/cacheproxy/agent/ProcFs.java
@@ -8,111 +8,112 @@
 import java.nio.file.Files;
 import java.nio.file.Path;
 
-/** What the kernel tells of processes: proc(5). */
+/** Reads process information from the proc file system, see proc(5). */
 final class ProcFs {
-    /** Of the fields behind the program's name: state, and start time in ticks. */
-    private static final int STATE = 0;
+    /** Indexes into the fields of stat that follow the program name: process state, and start time in clock ticks. */
+    private static final int STATE_FIELD = 0;
 
-    private static final int START = 19;
+    private static final int START_TIME_FIELD = 19;
 
     private final Path proc;
     private final String bootId;
 
     ProcFs(Path proc) {
         this.proc = proc;
-        String id;
+        String bootIdText;
         try {
-            id = Files.readString(proc.resolve("sys/kernel/random/boot_id")).strip();
+            bootIdText = Files.readString(proc.resolve("sys/kernel/random/boot_id")).strip();
         } catch (IOException e) {
-            id = "unknown";
+            bootIdText = "unknown";
         }
-        bootId = id;
+        bootId = bootIdText;
     }
 
     /**
-     * That it shows this process under the pid that the process has: else it is not mounted, or is another pid
-     * namespace's, as in a container. Danger: all instances would look gone, and strangers like them.
+     * Checks that the proc file system shows this process under its own pid. Otherwise it is not mounted or belongs to
+     * another pid namespace, as in a container: instances would seem to have ended, and unrelated processes could be
+     * taken for them.
      */
-    void checkOwn(long pid) {
+    void requireOwnProcessVisible(long pid) {
         try {
             String self = Files.readSymbolicLink(proc.resolve("self")).toString();
             if (self.equals(Long.toString(pid)) && identity(pid) != null && !bootId.equals("unknown")) {
                 return;
             }
         } catch (IOException | RuntimeException e) {
-            // no link: told below
+            // no such link: reported below
         }
         throw new InvalidInputException(
                 proc + " does not show this process (pid " + pid + "): it is not mounted, or is "
                         + "that of another pid namespace; an agent needs it to know its instances again");
     }
 
-    /** Null where there is no such process, or only what is left of one that nobody has waited for. */
+    /** Identifies a process; null if it does not exist or is a zombie. */
     UniqueProcessId identity(long pid) {
         String[] fields = fields(pid);
-        return fields == null || fields[STATE].equals("Z") || fields[STATE].equals("X")
+        return fields == null || fields[STATE_FIELD].equals("Z") || fields[STATE_FIELD].equals("X")
                 ? null
-                : new UniqueProcessId(pid, Long.parseLong(fields[START]), bootId);
+                : new UniqueProcessId(pid, Long.parseLong(fields[START_TIME_FIELD]), bootId);
     }
 
-    /** Whether it is under SIGSTOP, or a debugger. */
-    boolean stopped(long pid) {
+    /** Whether the process is stopped, by SIGSTOP or by a debugger. */
+    boolean isStopped(long pid) {
         String[] fields = fields(pid);
-        return fields != null && (fields[STATE].equals("T") || fields[STATE].equals("t"));
+        return fields != null && (fields[STATE_FIELD].equals("T") || fields[STATE_FIELD].equals("t"));
     }
 
     private String[] fields(long pid) {
         try {
             String stat =
                     Files.readString(proc.resolve(Long.toString(pid)).resolve("stat"), StandardCharsets.ISO_8859_1);
-            // the name may hold spaces and brackets: what counts is behind the last of them
+            // the program name may contain spaces and parentheses, so parse after the last closing parenthesis
             String[] fields = stat.substring(stat.lastIndexOf(')') + 2).split(" ");
-            return fields.length > START && fields[START].matches("\\d{1,18}") ? fields : null;
+            return fields.length > START_TIME_FIELD && fields[START_TIME_FIELD].matches("\\d{1,18}") ? fields : null;
         } catch (IOException | RuntimeException e) {
             return null;
         }
     }
 
-    boolean alive(UniqueProcessId who) {
-        return who != null && who.equals(identity(who.pid()));
+    boolean isAlive(UniqueProcessId process) {
+        return process != null && process.equals(identity(process.pid()));
     }
 
-    /** The process in whose environment this line stands; null where none does, or it cannot be read. */
-    UniqueProcessId withEnvironment(String line) {
-        byte[] wanted = (line + "\0").getBytes(StandardCharsets.UTF_8);
-        try (DirectoryStream<Path> all = Files.newDirectoryStream(proc, "[0-9]*")) {
-            for (Path p : all) {
+    /** Finds the process that has this variable in its environment; null if there is none that can be read. */
+    UniqueProcessId findByEnvironmentVariable(String variable) {
+        byte[] wanted = (variable + "\0").getBytes(StandardCharsets.UTF_8);
+        try (DirectoryStream<Path> processes = Files.newDirectoryStream(proc, "[0-9]*")) {
+            for (Path directory : processes) {
                 try {
-                    if (holds(Files.readAllBytes(p.resolve("environ")), wanted)) {
-                        UniqueProcessId who =
-                                identity(Long.parseLong(p.getFileName().toString()));
-                        if (who != null) {
-                            return who;
+                    if (containsVariable(Files.readAllBytes(directory.resolve("environ")), wanted)) {
+                        UniqueProcessId process =
+                                identity(Long.parseLong(directory.getFileName().toString()));
+                        if (process != null) {
+                            return process;
                         }
                     }
                 } catch (IOException | NumberFormatException e) {
-                    // another user's, or gone meanwhile
+                    // belongs to another user, or has ended meanwhile
                 }
             }
         } catch (IOException e) {
-            // a container without /proc of its own: the socket and the lock are left
+            // for example a container without its own /proc: the search falls back to the control socket and the lock
         }
         return null;
     }
 
-    /** Whether a whole variable stands there: at the beginning, or behind the end of another. */
-    private static boolean holds(byte[] all, byte[] wanted) {
-        for (int at = 0; at + wanted.length <= all.length; at++) {
-            if ((at == 0 || all[at - 1] == 0) && matches(all, at, wanted)) {
+    /** Whether the environment contains the variable, at its beginning or after a terminating NUL. */
+    private static boolean containsVariable(byte[] environment, byte[] wanted) {
+        for (int offset = 0; offset + wanted.length <= environment.length; offset++) {
+            if ((offset == 0 || environment[offset - 1] == 0) && matches(environment, offset, wanted)) {
                 return true;
             }
         }
         return false;
     }
 
-    private static boolean matches(byte[] all, int at, byte[] wanted) {
+    private static boolean matches(byte[] environment, int offset, byte[] wanted) {
         for (int i = 0; i < wanted.length; i++) {
-            if (all[at + i] != wanted[i]) {
+            if (environment[offset + i] != wanted[i]) {
                 return false;
             }
         }
--- a/fleet/src/main/java/cacheproxy/agent/RemoteAccess.java
+++ b/fleet/src/main/java/cacheproxy/agent/RemoteAccess.java
@@ -17,30 +17,30 @@
 import java.util.function.Supplier;
 
 /**
- * What remote.json asks for: an address to listen on, and who may come. Danger: whoever may ask an agent may run what
- * they like as its user; so without the file there is none of this, and with one that is not wholly clear there is no
- * agent.
+ * Remote access as configured in remote.json: the address to listen on and the clients to accept. Anyone who can send
+ * requests to an agent can run any program as its user. Without the file there is therefore no remote access, and with
+ * an invalid file the agent does not start.
  */
 final class RemoteAccess {
-    private static final Set<String> FIELDS = Set.of("listen", "certificate", "key", "clients", "token");
-    private static final int HANDSHAKE_MS = 5_000;
-    private static final String MODE = "rw-------";
+    private static final Set<String> KNOWN_FIELDS = Set.of("listen", "certificate", "key", "clients", "token");
+    private static final int HANDSHAKE_TIMEOUT_MS = 5_000;
+    private static final String REQUIRED_MODE = "rw-------";
 
     private final InetSocketAddress listen;
-    private final ControlServer.ConnectionGuard gate;
+    private final ControlServer.ConnectionGuard guard;
 
-    private RemoteAccess(InetSocketAddress listen, ControlServer.ConnectionGuard gate) {
+    private RemoteAccess(InetSocketAddress listen, ControlServer.ConnectionGuard guard) {
         this.listen = listen;
-        this.gate = gate;
+        this.guard = guard;
     }
 
-    /** Null: there is no such file. Throws {@link InvalidInputException} that names the field. */
+    /** Null if the file does not exist. Throws {@link InvalidInputException} naming the invalid field. */
     static RemoteAccess read(Path file) {
         if (!Files.exists(file, LinkOption.NOFOLLOW_LINKS)) {
             return null;
         }
         try {
-            return parsed(file);
+            return parse(file);
         } catch (IOException e) {
             throw new InvalidInputException(file + " cannot be read: " + e.getMessage());
         } catch (InvalidInputException e) {
@@ -48,10 +48,10 @@
         }
     }
 
-    private static RemoteAccess parsed(Path file) throws IOException {
+    private static RemoteAccess parse(Path file) throws IOException {
         String mode = PosixFilePermissions.toString(Files.getPosixFilePermissions(file));
-        if (!mode.equals(MODE)) {
-            throw new InvalidInputException("its mode is " + mode + ": it must be 600, " + MODE);
+        if (!mode.equals(REQUIRED_MODE)) {
+            throw new InvalidInputException("its mode is " + mode + ": it must be 600, " + REQUIRED_MODE);
         }
         Map<String, Object> json;
         try {
@@ -61,7 +61,7 @@
                     + e.getMessage().lines().findFirst().orElse(""));
         }
         for (String field : json.keySet()) {
-            if (!FIELDS.contains(field)) {
+            if (!KNOWN_FIELDS.contains(field)) {
                 throw new InvalidInputException(field + ": no such field");
             }
         }
@@ -70,26 +70,26 @@
                 listen,
                 Tls.serverGuard(
                         new Tls.Credentials(
-                                named(json, "certificate", file),
-                                named(json, "key", file),
-                                named(json, "clients", file),
-                                json.containsKey("token") ? named(json, "token", file) : null),
-                        HANDSHAKE_MS));
+                                namedFile(json, "certificate", file),
+                                namedFile(json, "key", file),
+                                namedFile(json, "clients", file),
+                                json.containsKey("token") ? namedFile(json, "token", file) : null),
+                        HANDSHAKE_TIMEOUT_MS));
     }
 
     private static String text(Map<String, Object> json, String field) {
-        if (json.get(field) instanceof String s && !s.isBlank()) {
-            return s;
+        if (json.get(field) instanceof String string && !string.isBlank()) {
+            return string;
         }
         throw new InvalidInputException(field + (json.containsKey(field) ? ": a text is needed" : " is missing"));
     }
 
-    private static Tls.NamedFile named(Map<String, Object> json, String field, Path file) {
+    private static Tls.NamedFile namedFile(Map<String, Object> json, String field, Path file) {
         return new Tls.NamedFile(field, file.resolveSibling(text(json, field)));
     }
 
-    /** A loop of its own: handshakes of strangers must not keep the owner's requests waiting. */
-    ControlServer open(Supplier<EventLoop> loop, ControlServer.RequestHandler ops) {
-        return ControlServer.open(loop.get(), listen, ops, gate);
+    /** Uses its own event loop, so that TLS handshakes of unauthenticated clients cannot delay local requests. */
+    ControlServer open(Supplier<EventLoop> loop, ControlServer.RequestHandler handler) {
+        return ControlServer.open(loop.get(), listen, handler, guard);
     }
 }
--- a/fleet/src/main/java/cacheproxy/agent/SiteComparison.java
+++ b/fleet/src/main/java/cacheproxy/agent/SiteComparison.java
@@ -11,11 +11,11 @@
 import java.util.Map;
 
 /**
- * What applying a site file changes, by names of instances.
+ * The changes that applying a site file makes, by instance name.
  *
- * @param reload those of which only the configuration differs
- * @param needRestart those that a restart is needed for
- * @param unchanged how many are declared as before
+ * @param reload instances of which only the configuration differs
+ * @param needRestart instances that need a restart
+ * @param unchanged number of instances whose declaration is the same
  */
 record SiteComparison(
         String site,
@@ -51,7 +51,7 @@
         return new SiteComparison(site.name(), added, removed, reload, needRestart, unchanged);
     }
 
-    /** As the control channel replies it. */
+    /** The reply sent on the control channel. */
     Map<String, Object> toReply() {
         Map<String, Object> reply = new LinkedHashMap<>();
         reply.put("site", site);
--- a/fleet/src/main/java/cacheproxy/agent/StateFolder.java
+++ b/fleet/src/main/java/cacheproxy/agent/StateFolder.java
@@ -6,7 +6,7 @@
 import java.nio.file.Path;
 import java.nio.file.attribute.PosixFilePermissions;
 
-/** Where things lie in an agent's state folder. Its mode shuts out everybody else. */
+/** The layout of an agent's state folder, which only its owner may access. */
 record StateFolder(Path folder) {
 
     Path agentSocket() {
@@ -17,7 +17,7 @@
         return folder.resolve("agent.lock");
     }
 
-    /** Only where its owner wants the agent to be reached from elsewhere. */
+    /** The configuration of remote access; absent unless the owner enables it. */
     Path remote() {
         return folder.resolve("remote.json");
     }
@@ -27,7 +27,7 @@
     }
 
     Path events() {
-        return folder.resolve("events.log"); // beside no instance's log: one may be named "events"
+        return folder.resolve("events.log"); // not in the log folder, since an instance may be named "events"
     }
 
     Path socket(String name) {
@@ -42,30 +42,33 @@
         return folder.resolve("log").resolve(name + ".log");
     }
 
-    /** Makes what is missing; throws {@link InvalidInputException} where it cannot be had, or others may look in. */
-    void make() {
+    /**
+     * Creates missing folders; throws {@link InvalidInputException} if that fails or other users can access the folder.
+     */
+    void createMissing() {
         try {
-            var mode = PosixFilePermissions.asFileAttribute(PosixFilePermissions.fromString("rwx------"));
+            var ownerOnly = PosixFilePermissions.asFileAttribute(PosixFilePermissions.fromString("rwx------"));
             if (Files.notExists(folder)) {
                 Files.createDirectories(folder.toAbsolutePath().getParent());
-                Files.createDirectory(folder, mode);
+                Files.createDirectory(folder, ownerOnly);
             }
-            String has = PosixFilePermissions.toString(Files.getPosixFilePermissions(folder));
-            if (!has.endsWith("------")) {
+            String actualMode = PosixFilePermissions.toString(Files.getPosixFilePermissions(folder));
+            if (!actualMode.endsWith("------")) {
                 throw new InvalidInputException(
-                        "the state folder " + folder + " lets others in (" + has + "): it must have mode 700");
+                        "the state folder " + folder + " is accessible to other users (" + actualMode
+                                + "): it must have mode 700");
             }
             String owner = Files.getOwner(folder).getName();
             if (!owner.equals(System.getProperty("user.name"))) {
                 throw new InvalidInputException("the state folder " + folder + " belongs to " + owner);
             }
-            for (String part : new String[] {"run", "conf", "log"}) {
-                if (Files.notExists(folder.resolve(part))) {
-                    Files.createDirectory(folder.resolve(part), mode);
+            for (String subfolder : new String[] {"run", "conf", "log"}) {
+                if (Files.notExists(folder.resolve(subfolder))) {
+                    Files.createDirectory(folder.resolve(subfolder), ownerOnly);
                 }
             }
         } catch (IOException e) {
-            throw new InvalidInputException("the state folder " + folder + " cannot be had: " + e);
+            throw new InvalidInputException("the state folder " + folder + " cannot be created or read: " + e);
         }
     }
 }
--- a/fleet/src/main/java/cacheproxy/supervise/ConfigurationReloads.java
+++ b/fleet/src/main/java/cacheproxy/supervise/ConfigurationReloads.java
@@ -1,6 +1,6 @@
 package cacheproxy.supervise;
 
-/** Has running instances read their configuration again: on request, and until they have the one declared. */
+/** Reloads the configuration of running instances: on request, and whenever it differs from the declared one. */
 final class ConfigurationReloads {
     static final String RELOAD_FAILED = "its reload failed, and is asked for again";
 
@@ -14,7 +14,10 @@
         this.instances = instances;
     }
 
-    /** Whether it is to reload now: it has another configuration than is declared, and has not refused that one. */
+    /**
+     * Whether a reload is due now: the instance uses a configuration other than the declared one and has not rejected
+     * the declared one, or its last reload failed.
+     */
     static boolean due(Instance instance, long now) {
         if (instance.state != InstanceState.READY
                 || instance.spec == null
@@ -27,7 +30,7 @@
                 || !instance.configurationDigest.equals(declared) && !instance.refusedDigest.equals(declared);
     }
 
-    /** Has it read its configuration again, also if that has not changed. */
+    /** Requests a reload, even if the configuration has not changed. Returns why it cannot; null if requested. */
     String reload(long now, String name) {
         Instance instance = instances.get(name);
         if (instance == null || instance.desired == DesiredState.REMOVED) {
@@ -45,28 +48,28 @@
         return null;
     }
 
-    void reloaded(long now, String name, int start, boolean taken, String why, String digest) {
+    void reloaded(long now, String name, int start, boolean applied, String why, String digest) {
         Instance instance = instances.withStart(name, start);
         if (instance == null || !instance.reloadPending) {
             return;
         }
         instance.reloadPending = false;
         instance.consecutiveReloadFailures = 0;
-        if (taken) {
+        if (applied) {
             instance.configurationDigest = digest;
             instance.refusalReason = "";
             instance.refusedDigest = "";
-            // it read something else than it was asked to: once more, and not again and again without a pause
+            // if it loaded a configuration other than the requested one, retry, but only after a pause
             instance.nextReloadMs = digest.equals(instance.reloadDigest)
                     ? now
                     : now + instance.policy().probeMs();
             instance.fault = "";
-            actions.say(name, "configuration taken");
+            actions.logEvent(name, "configuration taken");
         } else {
             instance.refusalReason = why;
             instance.refusedDigest = instance.reloadDigest;
             instance.fault = "configuration refused: " + why;
-            actions.say(name, instance.fault);
+            actions.logEvent(name, instance.fault);
         }
         if (instance.state == InstanceState.RELOADING) {
             instance.enter(InstanceState.READY, now);
@@ -74,7 +77,7 @@
         supervisor.step(instance, now);
     }
 
-    /** It could not be asked to reload, or did not answer: that says nothing of its configuration. */
+    /** The reload request could not be sent or was not answered, so the validity of the configuration is unknown. */
     void reloadFailed(long now, String name, int start, String why) {
         Instance instance = instances.withStart(name, start);
         if (instance == null || !instance.reloadPending) {
@@ -82,13 +85,13 @@
         }
         instance.reloadPending = false;
         SupervisionPolicy policy = instance.policy();
-        long wait = Math.max(policy.probeMs(), policy.backoffMs(instance.consecutiveReloadFailures));
+        long backoffMs = Math.max(policy.probeMs(), policy.backoffMs(instance.consecutiveReloadFailures));
         instance.consecutiveReloadFailures++;
-        instance.nextReloadMs = now + wait;
-        actions.say(name, "reload failed: " + why + "; is asked again in " + wait + " ms");
+        instance.nextReloadMs = now + backoffMs;
+        actions.logEvent(name, "reload failed: " + why + "; is asked again in " + backoffMs + " ms");
         if (instance.state == InstanceState.RELOADING) {
             instance.fault = RELOAD_FAILED;
-            instance.enter(InstanceState.READY, now); // the next probe tells whether it is
+            instance.enter(InstanceState.READY, now); // the next health check corrects the state if needed
         }
         supervisor.step(instance, now);
     }
--- a/fleet/src/main/java/cacheproxy/supervise/DesiredState.java
+++ b/fleet/src/main/java/cacheproxy/supervise/DesiredState.java
@@ -1,9 +1,9 @@
 package cacheproxy.supervise;
 
-/** What the site and its operators want of an instance. */
+/** The state that the site and its operators want an instance to be in. */
 enum DesiredState {
     RUNNING,
     STOPPED,
-    /** Not declared any more: its process is ended, and then it is forgotten. */
+    /** No longer declared: the process is terminated, then the instance is dropped. */
     REMOVED
 }
--- a/fleet/src/main/java/cacheproxy/supervise/HealthCheckResults.java
+++ b/fleet/src/main/java/cacheproxy/supervise/HealthCheckResults.java
@@ -1,6 +1,6 @@
 package cacheproxy.supervise;
 
-/** What the answers to health checks, or their absence, say of an instance's state. */
+/** Updates the state of an instance from the results of its health checks. */
 final class HealthCheckResults {
     private final Supervisor supervisor;
     private final SupervisorActions actions;
@@ -18,29 +18,36 @@
         this.rollingRestarts = rollingRestarts;
     }
 
-    /** It answered: whether it is ready, serves a client, and which configuration it has. */
+    /**
+     * Handles an answered health check.
+     *
+     * @param ready whether the instance reports that it is ready
+     * @param notServing why a client connection is not served; empty if it is
+     * @param digest digest of the configuration in use
+     */
     void probed(long now, String name, int start, boolean ready, String notServing, String digest) {
         Instance instance = instances.withStart(name, start);
         if (instance == null || !instance.state.mayRun()) {
             return;
         }
         instance.probePending = false;
-        // it has its channel, so it has its name, and none that was there before lives; one that was
-        // announced and never seen might still come
+        // An instance opens its control channel only while it holds the name lock, so every earlier process that was
+        // seen has ended. A start that was announced but never seen may still create its process.
         instance.unconfirmedStarts.removeIf(s -> s.identity() != null);
         instance.startsWithNameHeld = 0;
         instance.configurationDigest = digest;
         if (ready && notServing.isEmpty()) {
             instance.lastAnswerMs = now;
             boolean hung = instance.state == InstanceState.HUNG;
-            boolean stays = hung
+            boolean remainsHung = hung
                     && instance.terminating
                     && now - instance.sigtermMs > instance.policy().stopWithinMs();
-            if (instance.refusalReason().isEmpty() && !stays) { // else it is still true that it does not end
+            // otherwise a rejected configuration or the fault "does not end" still applies
+            if (instance.refusalReason().isEmpty() && !remainsHung) {
                 instance.fault = instance.consecutiveReloadFailures > 0 ? ConfigurationReloads.RELOAD_FAILED : "";
             }
             if (hung && instance.terminating) {
-                if (!stays) {
+                if (!remainsHung) {
                     instance.enter(InstanceState.STOPPING, now);
                 }
             } else if (instance.state != InstanceState.READY
@@ -50,20 +57,20 @@
                     instance.readySinceMs = now;
                 }
                 instance.enter(InstanceState.READY, now);
-                actions.say(name, "ready");
+                actions.logEvent(name, "ready");
             }
         } else if (!ready && notServing.isEmpty()) {
-            instance.lastAnswerMs = now; // it says itself that it starts or drains
-            boolean late = now - instance.sigtermMs > instance.policy().stopWithinMs();
-            if (instance.state == InstanceState.HUNG && instance.terminating && !late) {
+            instance.lastAnswerMs = now; // the instance itself reports that it is starting or draining
+            boolean stopOverdue = now - instance.sigtermMs > instance.policy().stopWithinMs();
+            if (instance.state == InstanceState.HUNG && instance.terminating && !stopOverdue) {
                 instance.enter(InstanceState.STOPPING, now);
             } else if (!instance.terminating && instance.readySinceMs < 0 && instance.state != InstanceState.STARTING) {
-                instance.enter(InstanceState.STARTING, now); // adopted, and not yet ready
+                instance.enter(InstanceState.STARTING, now); // adopted before it was ready
             } else if (instance.state == InstanceState.READY
                     || instance.state == InstanceState.HUNG && !instance.terminating) {
                 instance.fault = "says that it is not ready";
                 instance.enter(InstanceState.UNREADY, now);
-                actions.say(name, "unready: " + instance.fault);
+                actions.logEvent(name, "unready: " + instance.fault);
             }
         } else {
             notAnswering(instance, now, "answers its channel and serves no client: " + notServing);
@@ -91,7 +98,7 @@
             instance.fault = why;
             if (instance.state == InstanceState.READY) {
                 instance.enter(InstanceState.UNREADY, now);
-                actions.say(instance.name, "unready: " + why);
+                actions.logEvent(instance.name, "unready: " + why);
             }
         }
     }
--- a/fleet/src/main/java/cacheproxy/supervise/Instance.java
+++ b/fleet/src/main/java/cacheproxy/supervise/Instance.java
@@ -3,47 +3,55 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** One instance as the supervisor knows it. Times are in milliseconds of the supervisor's clock. */
+/** The supervisor's view of one instance. Times are in milliseconds of the supervisor's clock. */
 public final class Instance {
     public final String name;
-    /** Null while it is not declared. */
+    /** Null while the instance is not declared. */
     InstanceSpec spec;
 
     DesiredState desired = DesiredState.RUNNING;
-    /** It was removed, and the journal is still to be told that an earlier stop does not count any more. */
+    /** The instance was removed, but the journal does not yet record that its earlier stop command is void. */
     boolean resetUnrecorded;
 
     InstanceState state = InstanceState.DECLARED;
     long stateSinceMs;
 
-    /** Number of its last start; numbers never go back. */
+    /** Number of the last start; never decreases. */
     int lastStart;
 
-    /** Of the last start: its secret, the launch digest it was started with, and its process, null while unknown. */
+    /** Secret of the last start; this and the next two fields describe that start. */
     String secret = "";
 
+    /** Launch digest that the process was started with. */
     String launchDigest = "";
+    /** The process; null while it is not known. */
     UniqueProcessId identity;
-    /** So long after its announcement the process of the last start exists, or never will. */
+    /** If the process of the last start does not exist this long after its announcement, it never will. */
     long forkMs = SupervisionPolicy.USUAL.forkMs();
-    /** Starts before the last whose end nobody saw, oldest first: one of them may live and hold the name's lock. */
+    /**
+     * Earlier starts whose process was not observed to end, oldest first: one of these processes may still run and hold
+     * the name lock.
+     */
     final List<Start> unconfirmedStarts = new ArrayList<>();
 
-    /** The last start ended because another process holds the name's lock; that process is searched for. */
+    /** The last start ended because another process holds the name lock; that process is being searched for. */
     boolean nameHeld;
-    /** Which of {@link #unconfirmedStarts} is searched for as the holder, counted from the newest. */
+    /** Index into {@link #unconfirmedStarts}, from the newest, of the start being searched for as lock holder. */
     int holderIndex;
-    /** Starts in a row that found the name held. */
+    /** Number of consecutive starts that ended because another process held the name lock. */
     int startsWithNameHeld;
 
-    /** A start of an earlier agent whose process is searched for; until it is found it counts as one to come. */
+    /**
+     * The supervisor is searching for the process of a start by an earlier agent. Until the search ends, the process
+     * may still appear.
+     */
     boolean searching;
 
     boolean searchPending;
-    /** When the last search began, or failed. */
+    /** When the last search began or failed. */
     long lastSearchMs;
 
-    /** -1: not ready since its last start. */
+    /** -1: has not been ready since its last start. */
     long readySinceMs = -1;
 
     long lastAnswerMs;
@@ -56,18 +64,18 @@
     long sigtermMs;
     boolean sigkillSent;
     boolean restartAfterExit;
-    /** It is ended since it did not get ready in time; that counts as a crash. */
+    /** The process is being terminated because it was not ready in time; this counts as a crash. */
     boolean readinessTimedOut;
 
     int consecutiveCrashes;
-    /** An earlier agent saw it end; the backoff that follows from its crashes is still to be entered. */
+    /** The journal records the end of the last start; the backoff due after its crashes has not been applied yet. */
     boolean replayedEnd;
-    /** Not started before. */
+    /** Earliest time of the next start. */
     long nextStartMs;
-    /** Of the process that ended last; -1: unknown. */
+    /** Exit code of the process that ended last; -1: unknown. */
     int exitCode = -1;
 
-    /** Digest of the configuration in use, as it last reported. */
+    /** Digest of the configuration in use, as last reported by the instance. */
     String configurationDigest = "";
 
     String refusalReason = "";
@@ -77,16 +85,16 @@
 
     boolean reloadPending;
     long nextReloadMs;
-    /** Reloads in a row that did not reach it. */
+    /** Number of consecutive reload requests that failed or were not answered. */
     int consecutiveReloadFailures;
 
-    /** What is wrong, in words; empty: nothing. */
+    /** Description of the current fault; empty if there is none. */
     String fault = "";
 
     /**
      * What identifies the process of one start.
      *
-     * @param identity null where the process was never known
+     * @param identity null if the process was never known
      */
     record Start(int number, String secret, String launchDigest, UniqueProcessId identity, long forkMs) {}
 
@@ -94,7 +102,7 @@
         this.name = name;
     }
 
-    /** The last start, as one that may still live. */
+    /** The last start, as an entry for {@link #unconfirmedStarts}. */
     Start asUnconfirmedStart() {
         return new Start(lastStart, secret, launchDigest, identity, forkMs);
     }
@@ -104,17 +112,17 @@
         stateSinceMs = now;
     }
 
-    /** The policy declared for it; the usual one while it is not declared. */
+    /** The declared policy; the default policy while the instance is not declared. */
     SupervisionPolicy policy() {
         return spec == null ? SupervisionPolicy.USUAL : spec.policy();
     }
 
-    /** The fault as the end of a sentence; empty where there is none. */
+    /** The fault, formatted to end a sentence; empty if there is none. */
     String faultClause() {
         return fault.isEmpty() ? "" : ", " + fault;
     }
 
-    /** Begins a start that is in the journal. */
+    /** Resets the state for a start that has been written to the journal. */
     void begin(int number, String startSecret, String launch, long forkWithinMs, long now) {
         lastStart = number;
         secret = startSecret;
@@ -132,7 +140,7 @@
         enter(InstanceState.STARTING, now);
     }
 
-    /** Forgets what concerns only the process that has ended. */
+    /** Clears the state that belongs only to the process that has ended. */
     void clearProcessState() {
         readinessTimedOut = false;
         terminating = false;
@@ -146,17 +154,17 @@
         return state;
     }
 
-    /** Whether it is to run. */
+    /** Whether the instance should run. */
     public boolean wanted() {
         return desired == DesiredState.RUNNING;
     }
 
-    /** The number of its last start; 0: never started. */
+    /** Number of the last start; 0: never started. */
     public int lastStart() {
         return lastStart;
     }
 
-    /** The process of the last start; null where none is known. */
+    /** The process of the last start; null if not known. */
     public UniqueProcessId identity() {
         return identity;
     }
@@ -165,7 +173,7 @@
         return secret;
     }
 
-    /** When it entered its state, in milliseconds of the supervisor's clock. */
+    /** When the instance entered its state, in milliseconds of the supervisor's clock. */
     public long stateSinceMs() {
         return stateSinceMs;
     }
@@ -174,32 +182,32 @@
         return consecutiveCrashes;
     }
 
-    /** Exit code of the process that ended last; -1: unknown, as of one that this agent did not start. */
+    /** Exit code of the process that ended last; -1: unknown, as for processes that this agent did not start. */
     public int exitCode() {
         return exitCode;
     }
 
-    /** What is wrong, in words; empty: nothing. */
+    /** Description of the current fault; empty if there is none. */
     public String fault() {
         return fault;
     }
 
-    /** Digest of the configuration in use, as it last reported. */
+    /** Digest of the configuration in use, as last reported by the instance. */
     public String configurationDigest() {
         return configurationDigest;
     }
 
-    /** Why it refused the configuration that is declared; empty: it did not. */
+    /** Why the instance rejected the declared configuration; empty if it did not. */
     public String refusalReason() {
         return spec != null && refusedDigest.equals(spec.configuration()) ? refusalReason : "";
     }
 
-    /** Whether it was launched with something else than is declared, so that a restart is needed. */
+    /** Whether the launch parameters differ from the declared ones, so that a restart is needed. */
     public boolean outdated() {
         return state.mayRun() && spec != null && !launchDigest.equals(spec.launch());
     }
 
-    /** Null while it is not declared. */
+    /** Null while the instance is not declared. */
     public InstanceSpec spec() {
         return spec;
     }
--- a/fleet/src/main/java/cacheproxy/supervise/InstanceRegistry.java
+++ b/fleet/src/main/java/cacheproxy/supervise/InstanceRegistry.java
@@ -6,65 +6,68 @@
 import java.util.List;
 import java.util.Map;
 
-/** The instances by name, and what must be remembered of those that are not declared any more. */
+/** The instances by name, including the retained state of instances that are no longer declared. */
 final class InstanceRegistry {
-    /** Starts that nobody saw end, remembered for each name. */
+    /** Bound for each name on the starts whose process was not observed to end. */
     private static final int MAX_UNCONFIRMED_STARTS = 8;
 
     private final Map<String, Instance> instances = new LinkedHashMap<>();
-    /** Removed instances: start numbers go on where they ended, and their last process may still live. */
-    private final Map<String, Instance> forgotten = new HashMap<>();
+    /** Removed instances; kept so that start numbers continue and because an earlier process may still run. */
+    private final Map<String, Instance> removedInstances = new HashMap<>();
 
-    /** In the order in which they became known. */
+    /** All instances, in the order of their creation. */
     Collection<Instance> all() {
         return instances.values();
     }
 
-    /** A copy of {@link #all}, for loops that may forget some. */
+    /** A copy of {@link #all}, for loops that may remove instances. */
     List<Instance> copy() {
         return List.copyOf(instances.values());
     }
 
-    /** Null where there is none. */
+    /** Null if there is none. */
     Instance get(String name) {
         return instances.get(name);
     }
 
-    /** The instance that an answer about this start concerns; null where it has had another start, or none, since. */
+    /**
+     * The instance if this is still its last start; null if the start is outdated or ended because the name lock was
+     * held.
+     */
     Instance withStart(String name, int start) {
         Instance instance = instances.get(name);
         return instance != null && instance.lastStart == start && !instance.nameHeld ? instance : null;
     }
 
-    /** The instance of this name, made where there is none. */
+    /** The instance of this name, created if missing. */
     Instance getOrCreate(String name) {
         return instances.computeIfAbsent(name, this::create);
     }
 
     private Instance create(String name) {
         Instance instance = new Instance(name);
-        Instance before = forgotten.remove(name);
-        if (before != null) {
-            instance.lastStart = before.lastStart;
-            instance.unconfirmedStarts.addAll(before.unconfirmedStarts);
+        Instance removed = removedInstances.remove(name);
+        if (removed != null) {
+            instance.lastStart = removed.lastStart;
+            instance.unconfirmedStarts.addAll(removed.unconfirmedStarts);
         }
         return instance;
     }
 
-    void forget(Instance instance) {
+    void remove(Instance instance) {
         instances.remove(instance.name);
-        forgotten.put(instance.name, instance);
+        removedInstances.put(instance.name, instance);
     }
 
-    /** Removed instances of which a process may live. */
-    List<Instance> forgottenWithUnconfirmedStarts() {
-        return forgotten.values().stream()
+    /** Removed instances that may still have a running process. */
+    List<Instance> removedWithUnconfirmedStarts() {
+        return removedInstances.values().stream()
                 .filter(instance -> !instance.unconfirmedStarts.isEmpty())
                 .toList();
     }
 
-    /** Takes its last start for gone, though nobody has seen it end: it may live all the same. */
-    static void keepUnconfirmed(Instance instance) {
+    /** Keeps the last start as unconfirmed: the process is assumed to have ended, but its end was not observed. */
+    static void addUnconfirmedStart(Instance instance) {
         instance.unconfirmedStarts.add(instance.asUnconfirmedStart());
         if (instance.unconfirmedStarts.size() > MAX_UNCONFIRMED_STARTS) {
             instance.unconfirmedStarts.remove(0);
--- a/fleet/src/main/java/cacheproxy/supervise/InstanceState.java
+++ b/fleet/src/main/java/cacheproxy/supervise/InstanceState.java
@@ -2,41 +2,41 @@
 
 import java.util.Locale;
 
-/** What is known of an instance. */
+/** The state of an instance as known to the supervisor. */
 public enum InstanceState {
-    /** Named in the site, never started. */
+    /** Declared in the site, never started. */
     DECLARED,
-    /** Its start is announced; its process is there or about to be. */
+    /** The start has been announced in the journal; the process exists or is about to be created. */
     STARTING,
-    /** Its channel says ready and a client is greeted. */
+    /** The control channel reports ready, and a client connection is served. */
     READY,
-    /** Its process lives and did not answer last time. */
+    /** The process runs, but failed its last health check or reports that it is not ready. */
     UNREADY,
-    /** It was told to read its configuration again. */
+    /** A reload of the configuration was requested. */
     RELOADING,
-    /** It was told to end and tells how far it is. */
+    /** The process was told to stop and reports the progress of its drain. */
     DRAINING,
-    /** It was told to end. */
+    /** The process was told to stop. */
     STOPPING,
-    /** Its process lives, and does not answer or does not end. */
+    /** The process runs, but does not answer health checks or does not stop. */
     HUNG,
-    /** Its process is gone, as was wanted. */
+    /** The process has ended, as requested. */
     STOPPED,
-    /** Its process is gone, and was not to be. */
+    /** The process has ended unexpectedly. */
     CRASHED,
-    /** It is started again after a while. */
+    /** The next start waits for a backoff delay. */
     BACKING_OFF,
-    /** It crashed too often: somebody has to look. */
+    /** Crashed too often in a row; not started again until an operator intervenes. */
     GIVEN_UP,
-    /** It was there before this agent, and is being asked who it is. */
+    /** Started by an earlier agent; the supervisor is searching for the process or checking its health. */
     ADOPTED;
 
-    /** As it is shown to operators, and on the control channel: in lower case, with spaces. */
+    /** The name as shown to operators and on the control channel: in lower case, with spaces. */
     public String words() {
         return name().toLowerCase(Locale.ROOT).replace('_', ' ');
     }
 
-    /** Whether there may be a process. */
+    /** Whether a process may exist in this state. */
     public boolean mayRun() {
         return switch (this) {
             case DECLARED, STOPPED, CRASHED, BACKING_OFF, GIVEN_UP -> false;
--- a/fleet/src/main/java/cacheproxy/supervise/JournalRecord.java
+++ b/fleet/src/main/java/cacheproxy/supervise/JournalRecord.java
@@ -2,35 +2,40 @@
 
 import java.util.List;
 
-/** What is written down before it is done, or once it is known; read again by the next agent. */
+/** A journal record, written before an action or once an event is known; replayed by the next agent. */
 public sealed interface JournalRecord {
-    /** The site as text: what is declared from here on. */
+    /** The site file as text; replaces the previous declaration. */
     record SiteDeclared(String site) implements JournalRecord {}
 
-    /** Whether the named instance is to run. */
+    /** Whether the named instance should run. */
     record DesiredStateSet(String name, boolean running) implements JournalRecord {}
 
     /**
-     * Start number {@code start} of this name is about to be made; {@code forkMs} after this was written its process is
-     * there, or never will be. Written with it, since the name may not be declared any more when it is read again.
+     * Announces start number {@code start} of an instance. If its process does not exist {@code forkMs} after this was
+     * written, it never will. The time is stored here because the instance may no longer be declared at replay.
      */
     record StartAnnounced(String name, int start, String secret, String launch, long forkMs) implements JournalRecord {}
 
-    /** The process of this start, by which it is known again. */
+    /** Identifies the process of a start, so that the next agent recognises it. */
     record ProcessStarted(String name, int start, UniqueProcessId identity) implements JournalRecord {}
 
-    /** It is gone, or never came to be; code -1: unknown. */
+    /**
+     * The process of a start has ended or was never created.
+     *
+     * @param code exit code; -1: unknown
+     * @param failures consecutive crashes so far
+     */
     record ProcessEnded(String name, int start, int code, int failures) implements JournalRecord {}
 
-    /** A rolling restart of these instances, of which at most {@code mostDown} may be down at once. */
+    /** Begins a rolling restart of these instances, at most {@code mostDown} of them down at once. */
     record RollingRestartBegun(int id, List<String> names, int mostDown) implements JournalRecord {}
 
-    /** It is restarted from this start number on. */
+    /** The rolling restart begins to replace start number {@code start} of an instance. */
     record RollingRestartInstanceBegun(int id, String name, int start) implements JournalRecord {}
 
-    /** It is ready again. */
+    /** The instance is ready again after its restart. */
     record RollingRestartInstanceDone(int id, String name) implements JournalRecord {}
 
-    /** Why it ended; empty: all are done. */
+    /** The rolling restart ended; {@code why} is the reason it stopped, empty if all instances were restarted. */
     record RollingRestartEnded(int id, String why) implements JournalRecord {}
 }
--- a/fleet/src/main/java/cacheproxy/supervise/JournalReplay.java
+++ b/fleet/src/main/java/cacheproxy/supervise/JournalReplay.java
@@ -3,7 +3,7 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** What an agent learns of its instances from the journal of the one before, and what it writes to begin one anew. */
+/** Restores instances from the journal of the previous agent and creates the records of a compacted journal. */
 final class JournalReplay {
     private final InstanceRegistry instances;
 
@@ -11,7 +11,7 @@
         this.instances = instances;
     }
 
-    /** Takes a record in; those of the site and of rolling restarts are left out. */
+    /** Applies a record; records about the site and rolling restarts are ignored. */
     void replay(JournalRecord record) {
         if (record instanceof JournalRecord.DesiredStateSet set) {
             desiredStateSet(set);
@@ -33,7 +33,7 @@
     private void startAnnounced(JournalRecord.StartAnnounced announced) {
         Instance instance = instances.getOrCreate(announced.name());
         if (instance.state == InstanceState.ADOPTED && !instance.nameHeld) {
-            InstanceRegistry.keepUnconfirmed(instance); // its end could not be written
+            InstanceRegistry.addUnconfirmedStart(instance); // the record of its end could not be written
         }
         instance.lastStart = announced.start();
         instance.secret = announced.secret();
@@ -50,9 +50,10 @@
     private void processEnded(JournalRecord.ProcessEnded ended) {
         Instance instance = instances.getOrCreate(ended.name());
         if (ended.code() < 0 && ended.start() == instance.lastStart && instance.state == InstanceState.ADOPTED) {
-            InstanceRegistry.keepUnconfirmed(instance);
+            InstanceRegistry.addUnconfirmedStart(instance);
         }
-        instance.nameHeld = ended.code() == Supervisor.HELD; // the agent died while it searched for the holder
+        // true if the previous agent died while searching for the lock holder
+        instance.nameHeld = ended.code() == Supervisor.NAME_HELD_EXIT_CODE;
         instance.state = instance.nameHeld ? InstanceState.ADOPTED : InstanceState.STOPPED;
         instance.fault = instance.nameHeld ? NameHolderSearch.NAME_HELD : "";
         instance.searching = instance.nameHeld;
@@ -62,11 +63,11 @@
         instance.replayedEnd = !instance.nameHeld;
     }
 
-    /** The records from which {@link #replay} makes the instances as they are. */
+    /** The records from which {@link #replay} restores the present state of the instances. */
     List<JournalRecord> snapshot() {
         List<JournalRecord> records = new ArrayList<>();
         List<Instance> recorded = new ArrayList<>(instances.all());
-        recorded.addAll(instances.forgottenWithUnconfirmedStarts());
+        recorded.addAll(instances.removedWithUnconfirmedStarts());
         for (Instance instance : recorded) {
             if (instance.desired == DesiredState.STOPPED) {
                 records.add(new JournalRecord.DesiredStateSet(instance.name, false));
@@ -81,7 +82,7 @@
 
     private static void addUnconfirmedStarts(List<JournalRecord> records, Instance instance) {
         for (Instance.Start start : instance.unconfirmedStarts) {
-            if (start.number() != instance.lastStart) { // that one follows as the last start
+            if (start.number() != instance.lastStart) { // the last start is added below
                 addStart(records, instance.name, start);
                 records.add(new JournalRecord.ProcessEnded(instance.name, start.number(), -1, 0));
             }
--- a/fleet/src/main/java/cacheproxy/supervise/NameHolderSearch.java
+++ b/fleet/src/main/java/cacheproxy/supervise/NameHolderSearch.java
@@ -1,8 +1,9 @@
 package cacheproxy.supervise;
 
 /**
- * Searches for the processes of starts that an earlier agent made, and for the process that holds an instance's name
- * lock: one of its own starts that nobody saw end, which is adopted, or a stranger, for whose end it waits.
+ * Searches for the processes of starts by an earlier agent, and for the process that holds the name lock of an
+ * instance. If the holder is a known start of that instance, it is adopted; if it is any other process, the start is
+ * retried with backoff until the lock is free.
  */
 final class NameHolderSearch {
     static final String NAME_HELD = "its name is held by another process";
@@ -17,26 +18,29 @@
         this.rollingRestarts = rollingRestarts;
     }
 
-    /** Which start is searched for. */
-    static int searchedStart(Instance instance) {
+    /** The number of the start that the current search is for. */
+    static int startBeingSearched(Instance instance) {
         return instance.nameHeld && !instance.unconfirmedStarts.isEmpty()
-                ? holder(instance).number()
+                ? candidateHolder(instance).number()
                 : instance.lastStart;
     }
 
-    /** Of the starts that may hold the name, the one asked for. */
-    private static Instance.Start holder(Instance instance) {
+    /** The unconfirmed start that is being searched for as the lock holder. */
+    private static Instance.Start candidateHolder(Instance instance) {
         return instance.unconfirmedStarts.get(instance.unconfirmedStarts.size() - 1 - instance.holderIndex);
     }
 
-    /** Its last start ended since another process holds its name: one of its own starts, or a stranger. */
-    void nameHeld(Instance instance, long now) {
-        actions.note(new JournalRecord.ProcessEnded(
+    /**
+     * Handles a start that ended because another process holds the name lock: an earlier start of the same instance, or
+     * an unrelated process.
+     */
+    void startFoundNameHeld(Instance instance, long now) {
+        actions.appendToJournal(new JournalRecord.ProcessEnded(
                 instance.name,
                 instance.lastStart,
-                Supervisor.HELD,
-                instance.consecutiveCrashes)); // no crash: it counts none
-        instance.exitCode = Supervisor.HELD;
+                Supervisor.NAME_HELD_EXIT_CODE,
+                instance.consecutiveCrashes)); // not a crash, so the count stays
+        instance.exitCode = Supervisor.NAME_HELD_EXIT_CODE;
         instance.identity = null;
         instance.nameHeld = true;
         instance.searching = true;
@@ -45,15 +49,17 @@
         instance.clearProcessState();
         instance.fault = NAME_HELD;
         instance.enter(InstanceState.ADOPTED, now);
-        actions.say(instance.name, "ended, code " + Supervisor.HELD + ": " + NAME_HELD + "; it is searched for");
+        actions.logEvent(
+                instance.name,
+                "ended, code " + Supervisor.NAME_HELD_EXIT_CODE + ": " + NAME_HELD + "; it is searched for");
         instance.searchPending = false;
         instance.lastSearchMs = now;
-        rollingRestarts.advance(now); // what holds the name was not restarted: a rolling restart ends here
+        rollingRestarts.advance(now); // the lock holder was not restarted, so a rolling restart stops here
         search(instance, now);
     }
 
-    void found(Instance instance, long now, int start, UniqueProcessId identity) {
-        if (!instance.searchPending || searchedStart(instance) != start) {
+    void searchCompleted(Instance instance, long now, int start, UniqueProcessId identity) {
+        if (!instance.searchPending || startBeingSearched(instance) != start) {
             return;
         }
         instance.searchPending = false;
@@ -62,20 +68,20 @@
             if (instance.holderIndex < instance.unconfirmedStarts.size()) {
                 search(instance, now);
             } else {
-                holderUnknown(instance, now);
+                holderNotFound(instance, now);
             }
             return;
         }
-        // it counts as a start of its own, with the secret that it has: numbers never go back
-        Instance.Start it = holder(instance);
-        if (!actions.note(new JournalRecord.StartAnnounced(
-                instance.name, instance.lastStart + 1, it.secret(), it.launchDigest(), it.forkMs()))) {
-            return; // asked again, after a pause
+        // start numbers never decrease: record the holder as a new start that keeps its own secret
+        Instance.Start holder = candidateHolder(instance);
+        if (!actions.appendToJournal(new JournalRecord.StartAnnounced(
+                instance.name, instance.lastStart + 1, holder.secret(), holder.launchDigest(), holder.forkMs()))) {
+            return; // the search is repeated after a pause
         }
         instance.lastStart++;
-        instance.secret = it.secret();
-        instance.launchDigest = it.launchDigest();
-        instance.forkMs = it.forkMs();
+        instance.secret = holder.secret();
+        instance.launchDigest = holder.launchDigest();
+        instance.forkMs = holder.forkMs();
         instance.identity = identity;
         instance.nameHeld = false;
         instance.searching = false;
@@ -84,14 +90,14 @@
         instance.nextProbeMs = now;
         instance.fault = "";
         instance.enter(InstanceState.ADOPTED, now);
-        actions.note(new JournalRecord.ProcessStarted(instance.name, instance.lastStart, identity));
-        actions.say(instance.name, "start " + start + " holds its name: adopted, pid " + identity.pid());
+        actions.appendToJournal(new JournalRecord.ProcessStarted(instance.name, instance.lastStart, identity));
+        actions.logEvent(instance.name, "start " + start + " holds its name: adopted, pid " + identity.pid());
         supervisor.step(instance, now);
         rollingRestarts.advance(now);
     }
 
-    /** A stranger, or gone meanwhile: tried again and again, for as long as it takes, and never given up. */
-    private void holderUnknown(Instance instance, long now) {
+    /** The lock holder is unknown or has ended meanwhile: start again with backoff, without ever giving up. */
+    private void holderNotFound(Instance instance, long now) {
         instance.nameHeld = false;
         instance.searching = false;
         instance.holderIndex = 0;
@@ -99,12 +105,12 @@
         instance.fault = NAME_HELD + ", which is none of its starts known here";
         if (instance.desired == DesiredState.RUNNING) {
             SupervisionPolicy policy = instance.policy();
-            long wait = policy.backoffMs(instance.startsWithNameHeld);
-            instance.nextStartMs = now + wait;
+            long backoffMs = policy.backoffMs(instance.startsWithNameHeld);
+            instance.nextStartMs = now + backoffMs;
             instance.enter(InstanceState.BACKING_OFF, now);
-            actions.say(instance.name, instance.fault + "; is started again in " + wait + " ms");
+            actions.logEvent(instance.name, instance.fault + "; is started again in " + backoffMs + " ms");
         } else {
-            actions.say(instance.name, instance.fault);
+            actions.logEvent(instance.name, instance.fault);
             instance.nextStartMs = now;
             instance.enter(InstanceState.STOPPED, now);
         }
@@ -118,10 +124,10 @@
         if (!instance.nameHeld) {
             actions.search(instance.name, instance.lastStart, instance.identity, instance.secret);
         } else if (instance.unconfirmedStarts.isEmpty()) {
-            holderUnknown(instance, now);
+            holderNotFound(instance, now);
         } else {
-            Instance.Start it = holder(instance);
-            actions.search(instance.name, it.number(), null, it.secret());
+            Instance.Start holder = candidateHolder(instance);
+            actions.search(instance.name, holder.number(), null, holder.secret());
         }
     }
 }
--- a/fleet/src/main/java/cacheproxy/supervise/RollingRestarts.java
+++ b/fleet/src/main/java/cacheproxy/supervise/RollingRestarts.java
@@ -8,14 +8,14 @@
 import java.util.Map;
 
 /**
- * Restarts instances in turn, at most so many at a time, each once those before are ready; stops at the first that
- * fails. One rolling restart at a time; the next agent goes on with it from the journal.
+ * Restarts instances in turn, at most {@code maxDown} at a time; the next one begins once an earlier one is ready.
+ * Stops at the first failure. Only one rolling restart runs at a time; the next agent resumes it from the journal.
  */
 final class RollingRestarts {
     private final Supervisor supervisor;
     private final SupervisorActions actions;
     private final InstanceRegistry instances;
-    /** Null: none is under way. */
+    /** The rolling restart in progress; null if there is none. */
     private RollingRestart current;
 
     private int lastId;
@@ -24,11 +24,14 @@
         final int id;
         final int maxDown;
         final ArrayDeque<String> pending = new ArrayDeque<>();
-        /** Instances being restarted, with the number of the start that is to be replaced. */
+        /** Instances being restarted, with the number of the start being replaced. */
         final Map<String, Integer> restarting = new LinkedHashMap<>();
 
         final List<String> done = new ArrayList<>();
-        /** Why it ended, while the journal cannot be told; empty: all are done; null: it goes on. */
+        /**
+         * Why it ended, kept until the end is in the journal; empty if all instances were restarted, null while in
+         * progress.
+         */
         String endReason;
 
         RollingRestart(int id, List<String> names, int maxDown) {
@@ -44,7 +47,7 @@
         this.instances = instances;
     }
 
-    /** Names done, being restarted, and to come; null where no rolling restart is under way. */
+    /** Instances restarted, being restarted and still pending; null if no rolling restart is in progress. */
     Map<String, List<String>> progress() {
         if (current == null || current.endReason != null) {
             return null;
@@ -58,12 +61,12 @@
                 List.copyOf(current.pending));
     }
 
-    /** Whether this start is ended by the rolling restart, so that its end is no crash. */
-    boolean ends(String name, int start) {
+    /** Whether the rolling restart is replacing this start, so that its end is not a crash. */
+    boolean replaces(String name, int start) {
         return current != null && current.restarting.getOrDefault(name, -1) == start;
     }
 
-    /** Returns why it does not begin; null: it does. */
+    /** Returns why the rolling restart cannot begin; null if it has begun. */
     String begin(long now, List<String> names, int maxDown) {
         if (current != null && current.endReason != null) {
             return Supervisor.JOURNAL_FAILS;
@@ -81,16 +84,17 @@
             return "a rolling restart needs names, and at least one that may be down";
         }
         List<String> distinct = List.copyOf(new LinkedHashSet<>(names));
-        if (!actions.note(new JournalRecord.RollingRestartBegun(++lastId, distinct, maxDown))) {
+        if (!actions.appendToJournal(new JournalRecord.RollingRestartBegun(++lastId, distinct, maxDown))) {
             return Supervisor.JOURNAL_FAILS;
         }
         current = new RollingRestart(lastId, distinct, maxDown);
-        actions.say("", "rolling restart " + lastId + " of " + distinct.size() + " begins, " + maxDown + " at once");
+        actions.logEvent(
+                "", "rolling restart " + lastId + " of " + distinct.size() + " begins, " + maxDown + " at once");
         advance(now);
         return null;
     }
 
-    /** To be called whenever an instance may have changed. */
+    /** Continues the rolling restart; must be called whenever the state of an instance may have changed. */
     void advance(long now) {
         if (current == null) {
             return;
@@ -105,7 +109,7 @@
                 end(failure);
                 return;
             }
-            followUp(instances.get(name), now);
+            checkRestarted(instances.get(name), now);
         }
         if (!restartNext(now)) {
             return;
@@ -115,7 +119,7 @@
         }
     }
 
-    /** Why the rolling restart stops at an instance being restarted; null: it does not. */
+    /** Why the rolling restart must stop at this instance; null if it need not. */
     private String failure(String name) {
         Instance instance = instances.get(name);
         if (instance == null) {
@@ -129,35 +133,39 @@
         return failed ? name + " is " + instance.state.words() + instance.faultClause() : null;
     }
 
-    private void followUp(Instance instance, long now) {
-        int before = current.restarting.get(instance.name);
-        if (instance.lastStart > before && instance.state == InstanceState.READY) {
+    private void checkRestarted(Instance instance, long now) {
+        int replacedStart = current.restarting.get(instance.name);
+        if (instance.lastStart > replacedStart && instance.state == InstanceState.READY) {
             current.restarting.remove(instance.name);
             current.done.add(instance.name);
-            actions.note(new JournalRecord.RollingRestartInstanceDone(current.id, instance.name));
-            actions.say(
+            actions.appendToJournal(new JournalRecord.RollingRestartInstanceDone(current.id, instance.name));
+            actions.logEvent(
                     instance.name, "restarted, " + current.done.size() + " done, " + current.pending.size() + " left");
-        } else if (instance.lastStart == before
+        } else if (instance.lastStart == replacedStart
                 && instance.state.mayRun()
                 && !instance.terminating
                 && !instance.searching) {
-            instance.restartAfterExit = true; // the agent died between the record and the signal
+            // the previous agent died after writing the record and before sending SIGTERM
+            instance.restartAfterExit = true;
             supervisor.step(instance, now);
         }
     }
 
-    /** Returns whether as many are being restarted as may be; false: one cannot be begun now, or it has ended. */
+    /**
+     * Begins restarts up to the limit. Returns false if a restart could not be written to the journal or the rolling
+     * restart has ended.
+     */
     private boolean restartNext(long now) {
         while (current.restarting.size() < current.maxDown && !current.pending.isEmpty()) {
             Instance instance = instances.get(current.pending.peek());
             if (instance == null || instance.desired != DesiredState.RUNNING) {
-                actions.say(current.pending.poll(), "left out of the rolling restart: it is not to run");
+                actions.logEvent(current.pending.poll(), "left out of the rolling restart: it is not to run");
                 continue;
             }
             if (instance.searching) {
                 return true;
             }
-            if (!actions.note(
+            if (!actions.appendToJournal(
                     new JournalRecord.RollingRestartInstanceBegun(current.id, instance.name, instance.lastStart))) {
                 return false;
             }
@@ -175,11 +183,12 @@
 
     private void end(String reason) {
         if (current.endReason == null) {
-            actions.say("", "rolling restart " + current.id + (reason.isEmpty() ? " is done" : " stopped: " + reason));
+            actions.logEvent(
+                    "", "rolling restart " + current.id + (reason.isEmpty() ? " is done" : " stopped: " + reason));
             current.endReason = reason;
         }
-        // while this is not in the journal, the next agent would go on with it
-        if (actions.note(new JournalRecord.RollingRestartEnded(current.id, current.endReason))) {
+        // until this record is in the journal, the next agent would resume the rolling restart
+        if (actions.appendToJournal(new JournalRecord.RollingRestartEnded(current.id, current.endReason))) {
             current = null;
         }
     }
@@ -200,7 +209,7 @@
         }
     }
 
-    /** The records from which {@link #replay} makes the rolling restart under way. */
+    /** The records from which {@link #replay} restores the rolling restart in progress. */
     List<JournalRecord> snapshot() {
         List<JournalRecord> records = new ArrayList<>();
         if (current == null || current.endReason != null) {
--- a/fleet/src/main/java/cacheproxy/supervise/SupervisionPolicy.java
+++ b/fleet/src/main/java/cacheproxy/supervise/SupervisionPolicy.java
@@ -1,18 +1,18 @@
 package cacheproxy.supervise;
 
 /**
- * How an instance is supervised; all times in milliseconds.
+ * Time limits and retry rules for an instance; all times in milliseconds.
  *
- * @param readyWithinMs one that has started is ready by then, or is ended and counts as crashed
- * @param stopWithinMs after SIGTERM it is gone by then, or it is hung
- * @param hungAfterMs one that has not answered for so long is hung
- * @param killAfterMs one that is hung gets SIGKILL so much later; -1: never
- * @param backoffMs before the second start after a crash; doubled with each crash in a row
- * @param backoffMostMs and this at most
- * @param giveUpAfter so many crashes in a row and it is not started again
- * @param stableMs ready for so long, and its crashes count anew
- * @param probeMs between two questions to it while it is ready; a fifth of that else
- * @param forkMs so long after an intent to start its process is there, or never will be
+ * @param readyWithinMs an instance that is not ready this long after its start is terminated, which counts as a crash
+ * @param stopWithinMs a process that has not ended this long after SIGTERM is considered hung
+ * @param hungAfterMs an instance that has not answered for this long is considered hung
+ * @param killAfterMs a hung instance gets SIGKILL after this time; -1: never
+ * @param backoffMs delay before the start after the first crash; doubled with each consecutive crash
+ * @param backoffMostMs upper bound of the backoff
+ * @param giveUpAfter number of consecutive crashes after which the instance is not started again
+ * @param stableMs a crash after being ready for at least this long restarts the count of crashes
+ * @param probeMs interval of health checks while the instance is ready; a fifth of it otherwise
+ * @param forkMs if the process does not exist this long after its start was announced, it never will be
  */
 public record SupervisionPolicy(
         long readyWithinMs,
@@ -26,21 +26,21 @@
         long probeMs,
         long forkMs) {
 
-    /** Drains take 3.6 s at most; a start on half a core 3.5 s. */
+    /** The default. A drain takes up to 3.6 s; a start on half a core takes 3.5 s. */
     public static final SupervisionPolicy USUAL =
             new SupervisionPolicy(30_000, 6_000, 3_000, -1, 500, 30_000, 5, 10_000, 1_500, 3_000);
 
-    /** Doublings of the backoff, so that it stays within a long whatever the policy says. */
+    /** Bounds the exponent of the backoff, so that the result fits into a long under any policy. */
     private static final int MAX_DOUBLINGS = 20;
-    /** An instance that is not ready is probed so many times as often as one that is. */
+    /** Instances that are not ready are checked this many times as often as ready ones. */
     private static final int NOT_READY_PROBE_FACTOR = 5;
 
-    /** The pause before a retry, in milliseconds: doubled with each failure before, up to the bound. */
+    /** The delay before a retry, in milliseconds: doubled with each earlier failure, up to {@link #backoffMostMs}. */
     long backoffMs(int doublings) {
         return Math.min(backoffMostMs, backoffMs << Math.min(doublings, MAX_DOUBLINGS));
     }
 
-    /** Between two probes of an instance that is not ready, in milliseconds. */
+    /** Interval of health checks for an instance that is not ready, in milliseconds. */
     long notReadyProbeMs() {
         return probeMs / NOT_READY_PROBE_FACTOR;
     }
--- a/fleet/src/main/java/cacheproxy/supervise/Supervisor.java
+++ b/fleet/src/main/java/cacheproxy/supervise/Supervisor.java
@@ -6,19 +6,20 @@
 import java.util.Map;
 
 /**
- * Keeps the instances of a site as they are declared. Events and clock readings come in as method calls (milliseconds
- * of one monotonic clock), effects go out through {@link SupervisorActions}; there is no I/O, clock or thread in it,
- * and calls must not overlap. It never has two processes of one name: a start is announced only once the process before
- * is known to be gone, and is in the journal before it is made.
+ * Keeps the instances of a site in their declared state. Events and clock readings arrive as method calls (times in
+ * milliseconds of one monotonic clock), and effects go out through {@link SupervisorActions}. The class does no I/O,
+ * has no clock and no threads, and calls must not overlap. It never runs two processes of one instance: a start is
+ * announced only after the previous process is known to have ended, and is in the journal before the process is
+ * created.
  *
- * <p>This class holds the life cycle of an instance. The other decisions are {@link RollingRestarts},
+ * <p>This class holds the life cycle of an instance. The other decisions are made by {@link RollingRestarts},
  * {@link NameHolderSearch}, {@link HealthCheckResults}, {@link ConfigurationReloads} and {@link JournalReplay}.
  */
 public final class Supervisor {
-    /** The exit code of an instance whose name is held by another process: no crash of its own. */
-    public static final int HELD = 3;
+    /** Exit code of a process that found its name lock held by another process; not counted as a crash. */
+    public static final int NAME_HELD_EXIT_CODE = 3;
 
-    /** Why an operation is refused that cannot be written down. */
+    /** Why an operation is rejected when it cannot be written to the journal. */
     static final String JOURNAL_FAILS = "the journal cannot be written: nothing is changed";
 
     private final SupervisorActions actions;
@@ -37,47 +38,47 @@
         healthCheckResults = new HealthCheckResults(this, actions, instances, rollingRestarts);
     }
 
-    // ---- what is known ----
+    // ---- queries ----
 
     public Collection<Instance> instances() {
         return instances.all();
     }
 
-    /** Null where there is none. */
+    /** Null if there is none. */
     public Instance instance(String name) {
         return instances.get(name);
     }
 
-    /** Of the rolling restart under way: names done, being restarted, and to come; null where there is none. */
-    public Map<String, List<String>> rolling() {
+    /** Instances restarted, being restarted and still pending; null if no rolling restart is in progress. */
+    public Map<String, List<String>> rollingRestartProgress() {
         return rollingRestarts.progress();
     }
 
-    // ---- after the death of an agent ----
+    // ---- journal replay ----
 
     /**
-     * Takes in what an earlier agent wrote down, in its order, before anything else is called.
-     * {@link JournalRecord.SiteDeclared} is left to the caller.
+     * Applies the journal records of an earlier agent; called in their order, before any other method.
+     * {@link JournalRecord.SiteDeclared} is handled by the caller.
      */
-    public void recall(JournalRecord record) {
+    public void replay(JournalRecord record) {
         journalReplay.replay(record);
         rollingRestarts.replay(record);
     }
 
-    /** The records from which {@link #recall} makes the present state: a journal may begin anew with them. */
+    /** The records from which {@link #replay} restores the present state; used to compact the journal. */
     public List<JournalRecord> snapshot() {
         List<JournalRecord> records = rollingRestarts.snapshot();
         records.addAll(journalReplay.snapshot());
         return records;
     }
 
-    // ---- what is wanted ----
+    // ---- declarations and operator commands ----
 
-    /** The site from now on. Those not named any more are ended and forgotten; names are unique. */
+    /** Replaces the declared site; names are unique. Instances no longer declared are terminated and removed. */
     public void declare(long now, List<InstanceSpec> specs) {
-        Map<String, InstanceSpec> named = new LinkedHashMap<>();
+        Map<String, InstanceSpec> declared = new LinkedHashMap<>();
         for (InstanceSpec spec : specs) {
-            named.put(spec.name(), spec);
+            declared.put(spec.name(), spec);
             Instance instance = instances.getOrCreate(spec.name());
             instance.spec = spec;
             if (instance.desired == DesiredState.REMOVED) {
@@ -89,7 +90,7 @@
             instance.replayedEnd = false;
         }
         for (Instance instance : instances.copy()) {
-            if (!named.containsKey(instance.name) && instance.desired != DesiredState.REMOVED) {
+            if (!declared.containsKey(instance.name) && instance.desired != DesiredState.REMOVED) {
                 instance.resetUnrecorded = instance.desired == DesiredState.STOPPED || instance.consecutiveCrashes > 0;
                 instance.consecutiveCrashes = 0;
                 instance.desired = DesiredState.REMOVED;
@@ -100,9 +101,9 @@
     }
 
     /**
-     * Searches for the processes of an earlier agent; called after all records are recalled, before {@link #declare}.
+     * Searches for the processes of an earlier agent; called after all records are replayed, before {@link #declare}.
      */
-    public void begin(long now) {
+    public void searchForProcesses(long now) {
         for (Instance instance : instances.copy()) {
             if (instance.state == InstanceState.ADOPTED) {
                 instance.stateSinceMs = now;
@@ -114,13 +115,13 @@
         }
     }
 
-    /** Sets whether an instance is to run. Returns why that is not done; null: it is. */
-    public String want(long now, String name, boolean running) {
+    /** Sets whether an instance should run. Returns why the command was rejected; null if it was accepted. */
+    public String setDesiredState(long now, String name, boolean running) {
         Instance instance = instances.get(name);
         if (instance == null || instance.desired == DesiredState.REMOVED) {
             return "no instance is named " + name;
         }
-        if (!actions.note(new JournalRecord.DesiredStateSet(name, running))) {
+        if (!actions.appendToJournal(new JournalRecord.DesiredStateSet(name, running))) {
             return JOURNAL_FAILS;
         }
         instance.desired = running ? DesiredState.RUNNING : DesiredState.STOPPED;
@@ -137,61 +138,70 @@
         return null;
     }
 
-    /** Ends its process and starts it again; without a process it is started. Returns why not; null: it does. */
+    /**
+     * Restarts an instance, or starts it if it has no process. Returns why the command was rejected; null if it was
+     * accepted.
+     */
     public String restart(long now, String name) {
-        String why = want(now, name, true);
+        String why = setDesiredState(now, name, true);
         Instance instance = instances.get(name);
-        if (why == null && instance.state.mayRun() && !fresh(instance)) {
+        if (why == null && instance.state.mayRun() && !startJustAnnounced(instance)) {
             instance.restartAfterExit = true;
             step(instance, now);
         }
         return why;
     }
 
-    /** Its start was announced just now, by the wish itself. */
-    private static boolean fresh(Instance instance) {
+    /** Whether the start was announced just now by the command itself, so that no restart is needed. */
+    private static boolean startJustAnnounced(Instance instance) {
         return instance.state == InstanceState.STARTING
                 && !instance.searching
                 && instance.identity == null
                 && !instance.outdated();
     }
 
-    /** Has it read its configuration again, also where that has not changed. Returns why not; null: it does. */
+    /** Requests a reload, even if the configuration has not changed. Returns why it cannot; null if requested. */
     public String reload(long now, String name) {
         return reloads.reload(now, name);
     }
 
     /**
-     * Restarts instances in turn, {@code maxDown} at a time; stops at the first that does not get ready. Returns why it
-     * does not begin; null: it does.
+     * Restarts instances in turn, {@code maxDown} at a time; stops at the first that fails. Returns why the rolling
+     * restart cannot begin; null if it has begun.
      */
-    public String roll(long now, List<String> names, int maxDown) {
+    public String beginRollingRestart(long now, List<String> names, int maxDown) {
         return rollingRestarts.begin(now, names, maxDown);
     }
 
-    // ---- what happens ----
+    // ---- events ----
 
-    /** The answer to a health check: whether it is ready, why it serves no client if so, its configuration's digest. */
+    /**
+     * A health check was answered.
+     *
+     * @param ready whether the instance reports that it is ready
+     * @param notServing why a client connection is not served; empty if it is
+     * @param digest digest of the configuration in use
+     */
     public void probed(long now, String name, int start, boolean ready, String notServing, String digest) {
         healthCheckResults.probed(now, name, start, ready, notServing, digest);
     }
 
-    /** A health check was not answered, or was lost. */
+    /** A health check failed or was not answered. */
     public void probeFailed(long now, String name, int start, String why) {
         healthCheckResults.probeFailed(now, name, start, why);
     }
 
-    /** It read its configuration again, and took it or refused it with a reason. */
+    /** A reload was answered: the instance applied the configuration, or rejected it with a reason. */
     public void reloaded(long now, String name, int start, boolean taken, String why, String digest) {
         reloads.reloaded(now, name, start, taken, why, digest);
     }
 
-    /** It could not be asked to reload, or did not answer: that says nothing of its configuration. */
+    /** The reload request could not be sent or was not answered, so the validity of the configuration is unknown. */
     public void reloadFailed(long now, String name, int start, String why) {
         reloads.reloadFailed(now, name, start, why);
     }
 
-    /** The process of this start was made. */
+    /** The process of this start was created. */
     public void spawned(long now, String name, int start, UniqueProcessId identity) {
         Instance instance = instances.withStart(name, start);
         if (instance == null || !instance.state.mayRun()) {
@@ -199,26 +209,26 @@
         }
         instance.identity = identity;
         instance.searching = false;
-        actions.note(new JournalRecord.ProcessStarted(
-                name, start, identity)); // without it the next agent searches by the mark
+        actions.appendToJournal(new JournalRecord.ProcessStarted(
+                name, start, identity)); // if this fails, the next agent searches by the environment variable LB_START
         instance.nextProbeMs = now;
         step(instance, now);
     }
 
-    /** The process of this start could not be made. */
+    /** The process of this start could not be created. */
     public void spawnFailed(long now, String name, int start, String why) {
         Instance instance = instances.withStart(name, start);
         if (instance != null && instance.state.mayRun()) {
             instance.fault = "could not be started: " + why;
-            gone(now, name, start, -1);
+            processEnded(now, name, start, -1);
         }
     }
 
-    /** Of a search: the process, or null if there is none now. */
-    public void found(long now, String name, int start, UniqueProcessId identity) {
-        Instance named = instances.get(name);
-        if (named != null && named.nameHeld) {
-            nameHolderSearch.found(named, now, start, identity);
+    /** A search completed; {@code identity} is the process found, null if there is none at present. */
+    public void searchCompleted(long now, String name, int start, UniqueProcessId identity) {
+        Instance current = instances.get(name);
+        if (current != null && current.nameHeld) {
+            nameHolderSearch.searchCompleted(current, now, start, identity);
             return;
         }
         Instance instance = instances.withStart(name, start);
@@ -231,26 +241,26 @@
             instance.searching = false;
             instance.identity = identity;
             if (!recorded) {
-                actions.note(new JournalRecord.ProcessStarted(name, start, identity));
+                actions.appendToJournal(new JournalRecord.ProcessStarted(name, start, identity));
             }
-            actions.say(name, "adopted, pid " + identity.pid());
+            actions.logEvent(name, "adopted, pid " + identity.pid());
             instance.nextProbeMs = now;
             step(instance, now);
         } else if (instance.identity != null) {
-            gone(now, name, start, -1);
+            processEnded(now, name, start, -1);
         } else if (instance.lastSearchMs >= instance.stateSinceMs + instance.forkMs) {
-            neverMade(instance, now); // the search began when the process had to exist
+            processNeverCreated(instance, now); // the search began after the time by which the process had to exist
         }
     }
 
-    /** Its start was announced and its process never made, since the agent died in between. */
-    private void neverMade(Instance instance, long now) {
-        actions.say(instance.name, "start " + instance.lastStart + " was announced and never made");
+    /** The start was announced but its process was never created: the previous agent died in between. */
+    private void processNeverCreated(Instance instance, long now) {
+        actions.logEvent(instance.name, "start " + instance.lastStart + " was announced and never made");
         instance.fault = "";
-        if (actions.note(
+        if (actions.appendToJournal(
                 new JournalRecord.ProcessEnded(instance.name, instance.lastStart, -1, instance.consecutiveCrashes))) {
             instance.searching = false;
-            InstanceRegistry.keepUnconfirmed(instance);
+            InstanceRegistry.addUnconfirmedStart(instance);
             instance.exitCode = -1;
             instance.enter(InstanceState.STOPPED, now);
             instance.nextStartMs = now;
@@ -260,37 +270,37 @@
         step(instance, now);
     }
 
-    /** Nobody could look: to be asked again, after a pause. */
-    public void notSearched(long now, String name, int start) {
+    /** A search could not be carried out; it is repeated after a pause. */
+    public void searchFailed(long now, String name, int start) {
         Instance instance = instances.get(name);
         if (instance != null
                 && instance.searching
                 && instance.searchPending
-                && NameHolderSearch.searchedStart(instance) == start) {
+                && NameHolderSearch.startBeingSearched(instance) == start) {
             instance.searchPending = false;
             instance.lastSearchMs = now;
         }
     }
 
-    /** Its process is gone. Code -1: nobody knows. */
-    public void gone(long now, String name, int start, int code) {
-        gone(now, name, start, code, "");
+    /** The process of this start has ended; exit code -1: unknown. */
+    public void processEnded(long now, String name, int start, int code) {
+        processEnded(now, name, start, code, "");
     }
 
-    /** {@code why}: what it said of its end; empty: nothing. */
-    public void gone(long now, String name, int start, int code, String why) {
+    /** The process of this start has ended; {@code why} is the reason it logged, empty if none. */
+    public void processEnded(long now, String name, int start, int code, String why) {
         Instance instance = instances.withStart(name, start);
         if (instance == null || !instance.state.mayRun()) {
             return;
         }
-        if (code == HELD) {
-            nameHolderSearch.nameHeld(instance, now);
+        if (code == NAME_HELD_EXIT_CODE) {
+            nameHolderSearch.startFoundNameHeld(instance, now);
             return;
         }
         if (code < 0 && instance.identity != null) {
-            InstanceRegistry.keepUnconfirmed(instance);
+            InstanceRegistry.addUnconfirmedStart(instance);
         }
-        boolean terminated = instance.restartAfterExit || instance.terminating || rollingRestarts.ends(name, start);
+        boolean terminated = instance.restartAfterExit || instance.terminating || rollingRestarts.replaces(name, start);
         boolean crashed = instance.desired == DesiredState.RUNNING && (instance.readinessTimedOut || !terminated);
         boolean wasStable = instance.readySinceMs >= 0
                 && now - instance.readySinceMs >= instance.policy().stableMs();
@@ -305,8 +315,8 @@
         if (crashed && !instance.readinessTimedOut && !why.isEmpty()) {
             instance.fault = why;
         }
-        actions.note(new JournalRecord.ProcessEnded(name, start, code, instance.consecutiveCrashes));
-        actions.say(
+        actions.appendToJournal(new JournalRecord.ProcessEnded(name, start, code, instance.consecutiveCrashes));
+        actions.logEvent(
                 name,
                 (crashed ? "crashed" : "ended")
                         + (code >= 0 ? ", code " + code : ", code unknown")
@@ -330,16 +340,16 @@
         if (instance.consecutiveCrashes >= policy.giveUpAfter()) {
             instance.fault = "crashed " + instance.consecutiveCrashes + " times in a row" + instance.faultClause();
             instance.enter(InstanceState.GIVEN_UP, now);
-            actions.say(instance.name, "given up: " + instance.fault);
+            actions.logEvent(instance.name, "given up: " + instance.fault);
         } else {
-            long wait = policy.backoffMs(instance.consecutiveCrashes - 1);
-            instance.nextStartMs = now + wait;
+            long backoffMs = policy.backoffMs(instance.consecutiveCrashes - 1);
+            instance.nextStartMs = now + backoffMs;
             instance.enter(InstanceState.BACKING_OFF, now);
-            actions.say(instance.name, "is started again in " + wait + " ms");
+            actions.logEvent(instance.name, "is started again in " + backoffMs + " ms");
         }
     }
 
-    /** Time has gone on; to be called at least every {@code probeMs}. */
+    /** Applies time limits; must be called at least every {@code probeMs}. */
     public void tick(long now) {
         for (Instance instance : instances.copy()) {
             step(instance, now);
@@ -347,15 +357,16 @@
         rollingRestarts.advance(now);
     }
 
-    // ---- what follows ----
+    // ---- transitions ----
 
-    /** Does what follows from an instance's state and the time. */
+    /** Takes the actions that are due for the state of an instance and the time. */
     void step(Instance instance, long now) {
-        if (instance.resetUnrecorded && actions.note(new JournalRecord.DesiredStateSet(instance.name, true))) {
+        if (instance.resetUnrecorded
+                && actions.appendToJournal(new JournalRecord.DesiredStateSet(instance.name, true))) {
             instance.resetUnrecorded = false;
         }
         if (!instance.state.mayRun()) {
-            forgetOrStart(instance, now);
+            removeOrStart(instance, now);
         } else if (instance.searching) {
             searchAgain(instance, now);
         } else {
@@ -363,15 +374,15 @@
                 terminate(instance, now);
             }
             probe(instance, now);
-            checkTime(instance, now);
+            applyTimeLimits(instance, now);
         }
     }
 
     private void searchAgain(Instance instance, long now) {
-        // a pending search may be lost; one that found nothing is repeated sooner
-        long pause =
+        // a pending search may have been lost; one that found nothing is repeated sooner
+        long retryDelayMs =
                 instance.searchPending ? instance.forkMs : instance.policy().notReadyProbeMs();
-        if (now >= instance.lastSearchMs + pause) {
+        if (now >= instance.lastSearchMs + retryDelayMs) {
             nameHolderSearch.search(instance, now);
         }
     }
@@ -387,22 +398,22 @@
         }
     }
 
-    /** Enters what the time in a state leads to: not ready in time, hung, killed, reloaded. */
-    private void checkTime(Instance instance, long now) {
+    /** Applies the time limits of the current state: not ready in time, hung, SIGKILL, reload. */
+    private void applyTimeLimits(Instance instance, long now) {
         SupervisionPolicy policy = instance.policy();
         if (instance.state == InstanceState.STARTING
                 && now - instance.stateSinceMs > policy.readyWithinMs()
                 && instance.identity != null) {
             instance.readinessTimedOut = true;
             instance.fault = "not ready within " + policy.readyWithinMs() + " ms";
-            actions.say(instance.name, instance.fault);
+            actions.logEvent(instance.name, instance.fault);
             terminate(instance, now);
         } else if (instance.terminating
                 && instance.state != InstanceState.HUNG
                 && now - instance.sigtermMs > policy.stopWithinMs()) {
-            hang(instance, now, "does not end: SIGTERM was " + (now - instance.sigtermMs) + " ms ago");
-        } else if (mustAnswer(instance.state) && now - instance.lastAnswerMs > policy.hungAfterMs()) {
-            hang(instance, now, instance.fault.isEmpty() ? "does not answer" : instance.fault);
+            enterHung(instance, now, "does not end: SIGTERM was " + (now - instance.sigtermMs) + " ms ago");
+        } else if (hungWithoutAnswer(instance.state) && now - instance.lastAnswerMs > policy.hungAfterMs()) {
+            enterHung(instance, now, instance.fault.isEmpty() ? "does not answer" : instance.fault);
         } else if (instance.state == InstanceState.HUNG
                 && policy.killAfterMs() >= 0
                 && !instance.sigkillSent
@@ -413,28 +424,29 @@
         }
     }
 
-    /** Whether an instance in this state is hung once it has not answered for long. */
-    private static boolean mustAnswer(InstanceState state) {
+    /** Whether an instance in this state becomes hung once it has not answered for too long. */
+    private static boolean hungWithoutAnswer(InstanceState state) {
         return state == InstanceState.UNREADY || state == InstanceState.ADOPTED || state == InstanceState.RELOADING;
     }
 
     private void kill(Instance instance, long now) {
         instance.sigkillSent = true;
-        actions.say(instance.name, "SIGKILL, as its policy says: hung for " + (now - instance.stateSinceMs) + " ms");
+        actions.logEvent(
+                instance.name, "SIGKILL, as its policy says: hung for " + (now - instance.stateSinceMs) + " ms");
         actions.kill(instance.name, instance.identity);
     }
 
-    private void hang(Instance instance, long now, String why) {
+    private void enterHung(Instance instance, long now, String why) {
         instance.fault = why;
         instance.enter(InstanceState.HUNG, now);
-        actions.say(instance.name, "hung: " + why);
+        actions.logEvent(instance.name, "hung: " + why);
     }
 
-    /** Of an instance without a process. */
-    private void forgetOrStart(Instance instance, long now) {
+    /** Removes or starts an instance that has no process. */
+    private void removeOrStart(Instance instance, long now) {
         if (instance.desired == DesiredState.REMOVED && !instance.resetUnrecorded) {
-            instances.forget(instance);
-            actions.say(instance.name, "forgotten: it is not declared any more");
+            instances.remove(instance);
+            actions.logEvent(instance.name, "forgotten: it is not declared any more");
         } else if (instance.desired == DesiredState.RUNNING
                 && instance.spec != null
                 && instance.state != InstanceState.GIVEN_UP
@@ -443,13 +455,14 @@
         }
     }
 
-    /** Makes a process, once its start is in the journal: without that the next agent could not know it. */
+    /** Starts a process after announcing it in the journal; otherwise the next agent could not recognise it. */
     private void start(Instance instance, long now) {
         InstanceSpec spec = instance.spec;
         int number = instance.lastStart + 1;
         String secret = actions.secret();
         long forkMs = instance.policy().forkMs();
-        if (!actions.note(new JournalRecord.StartAnnounced(instance.name, number, secret, spec.launch(), forkMs))) {
+        if (!actions.appendToJournal(
+                new JournalRecord.StartAnnounced(instance.name, number, secret, spec.launch(), forkMs))) {
             instance.nextStartMs = now + instance.policy().backoffMs();
             instance.fault = "not started: the journal cannot be written";
             return;
--- a/fleet/src/main/java/cacheproxy/supervise/UniqueProcessId.java
+++ b/fleet/src/main/java/cacheproxy/supervise/UniqueProcessId.java
@@ -1,8 +1,8 @@
 package cacheproxy.supervise;
 
 /**
- * A process that cannot be mistaken for another: a pid is used again, the wall clock steps.
+ * Identifies a process uniquely. A pid alone may be reused, and the wall clock may be adjusted.
  *
- * @param startTicks when it started, in kernel ticks since boot (proc(5), stat, field 22)
+ * @param startTicks start time in kernel clock ticks since boot (proc(5), stat, field 22)
  */
 public record UniqueProcessId(long pid, long startTicks, String bootId) {}
--- a/fleet/src/test/java/cacheproxy/agent/AgentKillTest.java
+++ b/fleet/src/test/java/cacheproxy/agent/AgentKillTest.java
@@ -46,7 +46,7 @@
         } catch (IOException e) {
             // it has died before it answered
         }
-        assertEquals(Failpoint.CODE, rig.ends(), rig.said());
+        assertEquals(Failpoint.EXIT_CODE, rig.ends(), rig.said());
     }
 
     @Test
@@ -62,7 +62,7 @@
                     "before-ProcessStarted:1",
                     "after-ProcessStarted:1")) {
                 rig.begin("-Dcacheproxy.failpoint=" + point);
-                assertEquals(Failpoint.CODE, rig.ends(), point);
+                assertEquals(Failpoint.EXIT_CODE, rig.ends(), point);
             }
             Map<String, Long> before = alive(rig);
             rig.up();
@@ -155,7 +155,7 @@
         } catch (IOException e) {
             // it has died before it answered
         }
-        assertEquals(Failpoint.CODE, rig.ends());
+        assertEquals(Failpoint.EXIT_CODE, rig.ends());
         rig.up();
         rig.until(
                 "all to have the new configuration",
@@ -178,7 +178,7 @@
         } catch (IOException e) {
             // it has died before it answered
         }
-        assertEquals(Failpoint.CODE, rig.ends());
+        assertEquals(Failpoint.EXIT_CODE, rig.ends());
         for (String point : List.of(
                 "before-terminate:1",
                 "after-terminate:1",
@@ -186,7 +186,7 @@
                 "after-fork:1",
                 "after-RollingRestartInstanceDone:1")) {
             rig.begin("-Dcacheproxy.failpoint=" + point);
-            assertEquals(Failpoint.CODE, rig.ends(), point);
+            assertEquals(Failpoint.EXIT_CODE, rig.ends(), point);
         }
         rig.up();
         rig.until("the roll to end", () -> !rig.done("list").containsKey("rolling"));
@@ -203,7 +203,7 @@
         } catch (IOException e) {
             // it has died before it answered
         }
-        assertEquals(Failpoint.CODE, rig.ends());
+        assertEquals(Failpoint.EXIT_CODE, rig.ends());
         rig.up();
         List<String> names = List.copyOf(rig.list().keySet());
         rig.done("stop", "names", names); // the operator saw no answer, and asks again
--- a/fleet/src/test/java/cacheproxy/agent/AgentTest.java
+++ b/fleet/src/test/java/cacheproxy/agent/AgentTest.java
@@ -235,7 +235,7 @@
 
     @Test
     void theCoreKnowsTheCodeOfOneWhoseNameIsHeld() {
-        assertEquals(InstanceLock.EXIT_CODE_HELD, Supervisor.HELD); // the core depends on no channel
+        assertEquals(InstanceLock.EXIT_CODE_HELD, Supervisor.NAME_HELD_EXIT_CODE); // the core depends on no channel
     }
 
     /** Danger: the one that serves is taken for gone, its name counts crashes, and nobody ends it. */
--- a/fleet/src/test/java/cacheproxy/agent/EarlierVersionTest.java
+++ b/fleet/src/test/java/cacheproxy/agent/EarlierVersionTest.java
@@ -36,7 +36,7 @@
     @TempDir
     Path folder;
 
-    private static byte[] file(String name) throws IOException {
+    private static byte[] readResource(String name) throws IOException {
         try (InputStream in = EarlierVersionTest.class.getResourceAsStream("/earlier/" + name)) {
             return in.readAllBytes();
         }
@@ -44,17 +44,17 @@
 
     private List<JournalRecord> journal() throws IOException {
         Path journal = folder.resolve("journal");
-        Files.write(journal, file("journal"));
+        Files.write(journal, readResource("journal"));
         List<JournalRecord> records = new ArrayList<>();
         Journal.open(journal, records::add).close();
         assertEquals(
-                new String(file("journal"), StandardCharsets.UTF_8),
+                new String(readResource("journal"), StandardCharsets.UTF_8),
                 Files.readString(journal),
                 "reading an undamaged journal leaves it as it is");
         return records;
     }
 
-    private static JournalRecord.StartAnnounced intent(String name, int start, String secret) {
+    private static JournalRecord.StartAnnounced startAnnounced(String name, int start, String secret) {
         return new JournalRecord.StartAnnounced(
                 name, start, secret, name.equals("node0") ? NODE_LAUNCH : DISCOVERY_LAUNCH, 3_000);
     }
@@ -63,9 +63,9 @@
     void eachRecordOfItsJournalIsRead() throws IOException {
         assertEquals(
                 List.of(
-                        new JournalRecord.SiteDeclared(new String(file("site.json"), StandardCharsets.UTF_8)),
-                        intent("discovery", 1, "180bcf6f2e4652366fab3ecf288fd30c"),
-                        intent("node0", 1, "569c73321b75992ef640023a7ae153dd"),
+                        new JournalRecord.SiteDeclared(new String(readResource("site.json"), StandardCharsets.UTF_8)),
+                        startAnnounced("discovery", 1, "180bcf6f2e4652366fab3ecf288fd30c"),
+                        startAnnounced("node0", 1, "569c73321b75992ef640023a7ae153dd"),
                         new JournalRecord.ProcessStarted("node0", 1, new UniqueProcessId(7259, 106760, BOOT)),
                         new JournalRecord.ProcessStarted("discovery", 1, new UniqueProcessId(7258, 106759, BOOT)),
                         new JournalRecord.DesiredStateSet("discovery", true),
@@ -74,20 +74,20 @@
                         new JournalRecord.RollingRestartInstanceBegun(1, "discovery", 1),
                         new JournalRecord.DesiredStateSet("discovery", true),
                         new JournalRecord.ProcessEnded("discovery", 1, 143, 0),
-                        intent("discovery", 2, "f97179ef54638aad03e0de7ce062529d"),
+                        startAnnounced("discovery", 2, "f97179ef54638aad03e0de7ce062529d"),
                         new JournalRecord.ProcessStarted("discovery", 2, DISCOVERY),
                         new JournalRecord.RollingRestartInstanceDone(1, "discovery"),
                         new JournalRecord.RollingRestartInstanceBegun(1, "node0", 1),
                         new JournalRecord.DesiredStateSet("node0", true),
                         new JournalRecord.ProcessEnded("node0", 1, 143, 0),
-                        intent("node0", 2, "209bbc548d174a200d16029bcfbf8753"),
+                        startAnnounced("node0", 2, "209bbc548d174a200d16029bcfbf8753"),
                         new JournalRecord.ProcessStarted("node0", 2, new UniqueProcessId(7543, 107270, BOOT)),
                         new JournalRecord.RollingRestartInstanceDone(1, "node0"),
                         new JournalRecord.RollingRestartEnded(1, ""),
                         new JournalRecord.DesiredStateSet("node0", false),
                         new JournalRecord.ProcessEnded("node0", 2, 143, 0),
                         new JournalRecord.DesiredStateSet("node0", true),
-                        intent("node0", 3, NODE_SECRET),
+                        startAnnounced("node0", 3, NODE_SECRET),
                         new JournalRecord.ProcessStarted("node0", 3, NODE)),
                 journal());
     }
@@ -95,21 +95,21 @@
     @Test
     void itsInstancesAreAdoptedAndNeedNoRestart() throws IOException {
         RecordedActions actions = new RecordedActions();
-        Supervisor core = new Supervisor(actions);
+        Supervisor supervisor = new Supervisor(actions);
         SiteFile site = null;
         for (JournalRecord record : journal()) {
             if (record instanceof JournalRecord.SiteDeclared declared) {
                 site = SiteFile.parse(declared.site());
             } else {
-                core.recall(record);
+                supervisor.replay(record);
             }
         }
-        core.begin(0);
-        core.declare(0, site.specs());
-        assertEquals(List.of("search discovery/2 " + DISCOVERY, "search node0/3 " + NODE), actions.taken);
-        core.found(1, "discovery", 2, DISCOVERY);
-        core.found(1, "node0", 3, NODE);
-        for (Instance instance : core.instances()) {
+        supervisor.searchForProcesses(0);
+        supervisor.declare(0, site.specs());
+        assertEquals(List.of("search discovery/2 " + DISCOVERY, "search node0/3 " + NODE), actions.calls);
+        supervisor.searchCompleted(1, "discovery", 2, DISCOVERY);
+        supervisor.searchCompleted(1, "node0", 3, NODE);
+        for (Instance instance : supervisor.instances()) {
             assertEquals(InstanceState.ADOPTED, instance.state());
             assertFalse(instance.outdated(), "it was launched as the same site file declares it now");
         }
@@ -121,7 +121,7 @@
                         "probe discovery/2",
                         "say node0 adopted, pid 7695",
                         "probe node0/3"),
-                actions.taken);
+                actions.calls);
     }
 
     @Test
@@ -135,10 +135,10 @@
             long end = System.nanoTime() + 10_000_000_000L;
             UniqueProcessId found = null;
             while (found == null && System.nanoTime() < end) { // the environment is its own only after exec(2)
-                found = processes.withEnvironment(Launcher.mark("node0", 3, secret));
+                found = processes.findByEnvironmentVariable(Launcher.startVariable("node0", 3, secret));
             }
             assertEquals(processes.identity(process.pid()), found);
-            assertTrue(processes.alive(found));
+            assertTrue(processes.isAlive(found));
         } finally {
             process.destroyForcibly().waitFor();
         }
@@ -146,11 +146,11 @@
 
     /** Keeps what the core asks for, and does nothing. */
     private static final class RecordedActions implements SupervisorActions {
-        final List<String> taken = new ArrayList<>();
+        final List<String> calls = new ArrayList<>();
 
         @Override
-        public boolean note(JournalRecord entry) {
-            taken.add("note " + entry);
+        public boolean appendToJournal(JournalRecord entry) {
+            calls.add("note " + entry);
             return true;
         }
 
@@ -161,37 +161,37 @@
 
         @Override
         public void spawn(String name, int start, String secret) {
-            taken.add("spawn " + name + "/" + start);
+            calls.add("spawn " + name + "/" + start);
         }
 
         @Override
         public void search(String name, int start, UniqueProcessId identity, String secret) {
-            taken.add("search " + name + "/" + start + " " + identity);
+            calls.add("search " + name + "/" + start + " " + identity);
         }
 
         @Override
         public void terminate(String name, UniqueProcessId identity) {
-            taken.add("terminate " + name + " " + identity);
+            calls.add("terminate " + name + " " + identity);
         }
 
         @Override
         public void kill(String name, UniqueProcessId identity) {
-            taken.add("kill " + name + " " + identity);
+            calls.add("kill " + name + " " + identity);
         }
 
         @Override
         public void probe(String name, int start) {
-            taken.add("probe " + name + "/" + start);
+            calls.add("probe " + name + "/" + start);
         }
 
         @Override
         public void reload(String name, int start) {
-            taken.add("reload " + name + "/" + start);
+            calls.add("reload " + name + "/" + start);
         }
 
         @Override
-        public void say(String name, String what) {
-            taken.add("say " + name + " " + what);
+        public void logEvent(String name, String what) {
+            calls.add("say " + name + " " + what);
         }
     }
 }
--- a/fleet/src/test/java/cacheproxy/agent/EventLogTest.java
+++ b/fleet/src/test/java/cacheproxy/agent/EventLogTest.java
@@ -16,7 +16,7 @@
 
 /** What has happened, in memory and in the file. */
 class EventLogTest {
-    private static final int MOST = 5_000;
+    private static final int MAX_EVENTS_IN_MEMORY = 5_000;
 
     @TempDir
     Path folder;
@@ -24,12 +24,12 @@
     @Test
     void eachHasANumberAndIsToldFromThereOn() {
         EventLog events = new EventLog(folder.resolve("e"));
-        assertEquals(1, events.next());
+        assertEquals(1, events.nextNumber());
         assertEquals(List.of(), events.from(0, 10));
         events.add("", "agent begins");
         events.add("n0", "starting");
         events.add("n0", "ready");
-        assertEquals(4, events.next());
+        assertEquals(4, events.nextNumber());
         assertEquals(
                 List.of(1L, 2L, 3L),
                 events.from(1, 10).stream().map(EventLog.Event::number).toList());
@@ -39,9 +39,9 @@
         assertEquals(List.of(), events.from(4, 10));
         assertEquals(List.of(), events.from(Long.MAX_VALUE, 10));
         EventLog.Event e = events.from(2, 1).get(0);
-        assertEquals(Set.of("number", "time", "name", "what"), e.object().keySet());
-        assertEquals("starting", e.object().get("what"));
-        assertEquals("n0", e.object().get("name"));
+        assertEquals(Set.of("number", "time", "name", "what"), e.toMap().keySet());
+        assertEquals("starting", e.toMap().get("what"));
+        assertEquals("n0", e.toMap().get("name"));
         assertEquals(e.time(), Instant.parse(e.time()).toString());
     }
 
@@ -62,31 +62,31 @@
     @Test
     void theLastOfThemAreKept() {
         EventLog events = new EventLog(folder.resolve("none").resolve("e")); // no file can be had
-        for (int i = 1; i <= MOST + 10; i++) {
+        for (int i = 1; i <= MAX_EVENTS_IN_MEMORY + 10; i++) {
             events.add("n0", "x" + i);
         }
         List<EventLog.Event> all = events.from(1, Integer.MAX_VALUE);
-        assertEquals(MOST, all.size());
+        assertEquals(MAX_EVENTS_IN_MEMORY, all.size());
         assertEquals(11, all.get(0).number());
-        assertEquals("x" + (MOST + 10), all.get(MOST - 1).what());
-        assertEquals(MOST + 11, events.next());
+        assertEquals("x" + (MAX_EVENTS_IN_MEMORY + 10), all.get(MAX_EVENTS_IN_MEMORY - 1).what());
+        assertEquals(MAX_EVENTS_IN_MEMORY + 11, events.nextNumber());
         assertFalse(Files.exists(folder.resolve("none")));
     }
 
     @Test
     void theFileIsKeptWithinBounds() throws IOException {
         Path file = folder.resolve("e");
-        Files.write(file, new byte[(int) LogRotation.MOST_BYTES + 1]);
+        Files.write(file, new byte[(int) LogRotation.MAX_BYTES + 1]);
         new EventLog(file).add("", "after");
         assertTrue(Files.readString(file).endsWith("Z agent after\n"));
         assertEquals(1, Files.readAllLines(file).size());
-        assertEquals(LogRotation.MOST_BYTES + 1, Files.size(LogRotation.numbered(file, 1)));
+        assertEquals(LogRotation.MAX_BYTES + 1, Files.size(LogRotation.numbered(file, 1)));
     }
 
     @Test
     void noInstanceSharesAFileWithThem() {
-        StateFolder layout = new StateFolder(folder);
-        assertNotEquals(layout.events(), layout.log("events"));
-        assertNotEquals(layout.agentSocket(), layout.socket("agent"));
+        StateFolder stateFolder = new StateFolder(folder);
+        assertNotEquals(stateFolder.events(), stateFolder.log("events"));
+        assertNotEquals(stateFolder.agentSocket(), stateFolder.socket("agent"));
     }
 }
--- a/fleet/src/test/java/cacheproxy/agent/LogRotationTest.java
+++ b/fleet/src/test/java/cacheproxy/agent/LogRotationTest.java
@@ -64,7 +64,7 @@
         }
         assertEquals(Set.of("n0.log", "n0.log.1", "n0.log.2", "n0.log.3"), names());
         assertEquals(List.of("old6", "old5", "old4"), List.of(older(1), older(2), older(3)));
-        assertEquals(3, LogRotation.KEPT);
+        assertEquals(3, LogRotation.MAX_ROTATED_FILES);
     }
 
     @Test
@@ -138,6 +138,6 @@
             }
         }
         assertEquals(lines, next, "the last line is there");
-        assertTrue(names().size() <= 1 + LogRotation.KEPT, names().toString());
+        assertTrue(names().size() <= 1 + LogRotation.MAX_ROTATED_FILES, names().toString());
     }
 }
