--- a/fleet/src/test/java/cacheproxy/agent/ProcFsTest.java
+++ b/fleet/src/test/java/cacheproxy/agent/ProcFsTest.java
@@ -45,22 +45,22 @@
 
     @Test
     void aProcThatDoesNotShowThisProcessIsRefused() throws IOException {
-        long me = ProcessHandle.current().pid();
-        new ProcFs(REAL).checkOwn(me);
-        refused(me); // nothing is there
+        long self = ProcessHandle.current().pid();
+        new ProcFs(REAL).requireOwnProcessVisible(self);
+        refused(self); // nothing is there
         Files.createSymbolicLink(proc.resolve("self"), Path.of("7")); // as from another pid namespace
         process(7, "java", "S", 1);
-        process(me, "stranger", "S", 1);
-        refused(me);
+        process(self, "stranger", "S", 1);
+        refused(self);
         Files.delete(proc.resolve("self"));
-        Files.createSymbolicLink(proc.resolve("self"), Path.of(Long.toString(me)));
-        new ProcFs(proc).checkOwn(me);
+        Files.createSymbolicLink(proc.resolve("self"), Path.of(Long.toString(self)));
+        new ProcFs(proc).requireOwnProcessVisible(self);
         Files.delete(proc.resolve("sys/kernel/random/boot_id")); // another boot could not be told from this
-        refused(me);
+        refused(self);
     }
 
     private void refused(long pid) {
-        String why = assertThrows(InvalidInputException.class, () -> new ProcFs(proc).checkOwn(pid))
+        String why = assertThrows(InvalidInputException.class, () -> new ProcFs(proc).requireOwnProcessVisible(pid))
                 .getMessage();
         assertTrue(why.contains("does not show this process (pid " + pid + ")"), why);
     }
@@ -83,26 +83,26 @@
     void thisProcessIsItselfAndAlive() throws IOException {
         ProcFs real = new ProcFs(REAL);
         long pid = ProcessHandle.current().pid();
-        UniqueProcessId me = real.identity(pid);
-        assertEquals(pid, me.pid());
-        assertEquals(Files.readString(REAL.resolve("sys/kernel/random/boot_id")).strip(), me.bootId());
-        assertTrue(me.startTicks() > 0);
-        assertEquals(me, new ProcFs(REAL).identity(pid), "the same at each look");
-        assertTrue(real.alive(me));
-        assertFalse(real.stopped(pid));
-        assertFalse(real.alive(new UniqueProcessId(pid, me.startTicks() + 1, me.bootId())));
-        assertFalse(real.alive(new UniqueProcessId(pid, me.startTicks(), "another")));
-        assertFalse(real.alive(null));
+        UniqueProcessId self = real.identity(pid);
+        assertEquals(pid, self.pid());
+        assertEquals(Files.readString(REAL.resolve("sys/kernel/random/boot_id")).strip(), self.bootId());
+        assertTrue(self.startTicks() > 0);
+        assertEquals(self, new ProcFs(REAL).identity(pid), "the same at each look");
+        assertTrue(real.isAlive(self));
+        assertFalse(real.isStopped(pid));
+        assertFalse(real.isAlive(new UniqueProcessId(pid, self.startTicks() + 1, self.bootId())));
+        assertFalse(real.isAlive(new UniqueProcessId(pid, self.startTicks(), "another")));
+        assertFalse(real.isAlive(null));
     }
 
     @Test
     void aRealProcessIsFoundByItsEnvironmentAndGoneWhenItIsAZombie() throws Exception {
         ProcFs real = new ProcFs(REAL);
-        String mark = "LB_START=n0/1/" + ProcessHandle.current().pid() + "/" + System.nanoTime();
+        String startVariable = "LB_START=n0/1/" + ProcessHandle.current().pid() + "/" + System.nanoTime();
         // its child ends once its parent has become a cat, which waits for nobody: ended before, the shell reaps it
         ProcessBuilder b = new ProcessBuilder(
                 "sh", "-c", "(until [ \"$c\" = cat ]; do read c < /proc/$$/comm; done) & echo $!; exec cat");
-        b.environment().put("LB_START", mark.substring(mark.indexOf('=') + 1));
+        b.environment().put("LB_START", startVariable.substring(startVariable.indexOf('=') + 1));
         Process parent = b.start();
         try {
             long child = Long.parseLong(parent.inputReader().readLine());
@@ -112,22 +112,22 @@
             }
             assertNull(real.identity(child), "a zombie is gone");
             assertTrue(Files.exists(REAL.resolve(Long.toString(child))), "and yet there");
-            UniqueProcessId found = real.withEnvironment(mark);
+            UniqueProcessId found = real.findByEnvironmentVariable(startVariable);
             assertNotNull(found);
             assertEquals(parent.pid(), found.pid());
-            assertNull(real.withEnvironment(mark + "0"));
-            assertNull(real.withEnvironment(mark.substring(0, mark.length() - 1)));
+            assertNull(real.findByEnvironmentVariable(startVariable + "0"));
+            assertNull(real.findByEnvironmentVariable(startVariable.substring(0, startVariable.length() - 1)));
 
             Process kill = new ProcessBuilder("kill", "-STOP", Long.toString(found.pid())).start();
             assertEquals(0, kill.waitFor());
-            while (!real.stopped(found.pid()) && System.nanoTime() < end) {
+            while (!real.isStopped(found.pid()) && System.nanoTime() < end) {
                 Thread.onSpinWait();
             }
-            assertTrue(real.stopped(found.pid()));
-            assertTrue(real.alive(found), "stopped, and there");
+            assertTrue(real.isStopped(found.pid()));
+            assertTrue(real.isAlive(found), "stopped, and there");
             parent.destroyForcibly().waitFor();
-            assertFalse(real.alive(found));
-            assertNull(real.withEnvironment(mark));
+            assertFalse(real.isAlive(found));
+            assertNull(real.findByEnvironmentVariable(startVariable));
         } finally {
             parent.destroyForcibly();
         }
@@ -136,57 +136,57 @@
     @Test
     void aPidThatIsUsedAgainIsAnother() throws IOException {
         process(7, "java", "S", 1000);
-        ProcFs fs = new ProcFs(proc);
-        UniqueProcessId first = fs.identity(7);
+        ProcFs procFs = new ProcFs(proc);
+        UniqueProcessId first = procFs.identity(7);
         assertEquals(new UniqueProcessId(7, 1000, "one"), first);
-        assertTrue(fs.alive(first));
+        assertTrue(procFs.isAlive(first));
         process(7, "java", "S", 1001);
-        assertFalse(fs.alive(first));
+        assertFalse(procFs.isAlive(first));
         process(7, "java", "S", 1000);
         boot("two");
-        assertFalse(new ProcFs(proc).alive(first), "the same ticks after another start of the machine");
+        assertFalse(new ProcFs(proc).isAlive(first), "the same ticks after another start of the machine");
     }
 
     @Test
     void theStateTellsWhoIsThere() throws IOException {
-        ProcFs fs = new ProcFs(proc);
+        ProcFs procFs = new ProcFs(proc);
         for (String state : new String[] {"R", "S", "D", "T", "t", "I"}) {
             process(7, "java", state, 5);
-            assertNotNull(fs.identity(7), state);
-            assertEquals(state.equalsIgnoreCase("T"), fs.stopped(7), state);
+            assertNotNull(procFs.identity(7), state);
+            assertEquals(state.equalsIgnoreCase("T"), procFs.isStopped(7), state);
         }
         for (String state : new String[] {"Z", "X"}) {
             process(7, "java", state, 5);
-            assertNull(fs.identity(7), state);
-            assertFalse(fs.alive(new UniqueProcessId(7, 5, "one")), state);
+            assertNull(procFs.identity(7), state);
+            assertFalse(procFs.isAlive(new UniqueProcessId(7, 5, "one")), state);
         }
-        assertNull(fs.identity(8));
-        assertFalse(fs.stopped(8));
+        assertNull(procFs.identity(8));
+        assertFalse(procFs.isStopped(8));
     }
 
     @Test
     void aNameMayHoldAnything() throws IOException {
-        ProcFs fs = new ProcFs(proc);
+        ProcFs procFs = new ProcFs(proc);
         for (String name : List.of("a b", "a) Z 1 1", ")", "((", ") T 0 0 (", "x\ny", "", "\u00ff\u00fe")) {
             process(7, name, "S", 1234);
-            assertEquals(new UniqueProcessId(7, 1234, "one"), fs.identity(7), name);
-            assertFalse(fs.stopped(7), name);
+            assertEquals(new UniqueProcessId(7, 1234, "one"), procFs.identity(7), name);
+            assertFalse(procFs.isStopped(7), name);
         }
     }
 
     @Test
     void aStatThatCannotBeReadIsNobody() throws IOException {
-        ProcFs fs = new ProcFs(proc);
+        ProcFs procFs = new ProcFs(proc);
         for (String stat : List.of("", "7", "7 (java)", "7 (java) S 1 1", "7 (java) S" + " x".repeat(49))) {
             Files.createDirectories(proc.resolve("7"));
             Files.writeString(proc.resolve("7").resolve("stat"), stat);
-            assertNull(fs.identity(7), stat);
+            assertNull(procFs.identity(7), stat);
         }
     }
 
     @Test
     void theEnvironmentIsSearchedForAWholeVariable() throws IOException {
-        ProcFs fs = new ProcFs(proc);
+        ProcFs procFs = new ProcFs(proc);
         for (int pid = 1; pid <= 9; pid++) {
             process(pid, "java", "S", pid);
         }
@@ -197,27 +197,27 @@
         environment(5, "LB=n/1"); // its end is not there
         environment(6, "lb=n/1\0");
         // 7 has none that may be read
-        assertNull(fs.withEnvironment("LB=n/1"));
+        assertNull(procFs.findByEnvironmentVariable("LB=n/1"));
         environment(8, "A=1\0LB=n/1\0B=2\0");
-        assertEquals(8, fs.withEnvironment("LB=n/1").pid());
+        assertEquals(8, procFs.findByEnvironmentVariable("LB=n/1").pid());
         environment(8, "LB=n/1\0");
-        assertEquals(new UniqueProcessId(8, 8, "one"), fs.withEnvironment("LB=n/1"));
+        assertEquals(new UniqueProcessId(8, 8, "one"), procFs.findByEnvironmentVariable("LB=n/1"));
         Files.createDirectories(proc.resolve("1a"));
         Files.writeString(proc.resolve("1a").resolve("environ"), "LB=n/1\0");
-        assertEquals(8, fs.withEnvironment("LB=n/1").pid(), "no process");
+        assertEquals(8, procFs.findByEnvironmentVariable("LB=n/1").pid(), "no process");
         process(8, "java", "Z", 8);
-        assertNull(fs.withEnvironment("LB=n/1"), "what is left of one is not it");
+        assertNull(procFs.findByEnvironmentVariable("LB=n/1"), "what is left of one is not it");
         process(9, "java", "S", 9);
         environment(9, "LB=n/1\0");
-        assertEquals(9, fs.withEnvironment("LB=n/1").pid());
+        assertEquals(9, procFs.findByEnvironmentVariable("LB=n/1").pid());
     }
 
     @Test
     void withoutAnyProcNobodyIsKnown() {
         ProcFs none = new ProcFs(proc.resolve("none"));
         assertNull(none.identity(ProcessHandle.current().pid()));
-        assertFalse(none.stopped(1));
-        assertFalse(none.alive(new UniqueProcessId(1, 1, "unknown")));
-        assertNull(none.withEnvironment("LB=n/1"));
+        assertFalse(none.isStopped(1));
+        assertFalse(none.isAlive(new UniqueProcessId(1, 1, "unknown")));
+        assertNull(none.findByEnvironmentVariable("LB=n/1"));
     }
 }
--- a/fleet/src/test/java/cacheproxy/supervise/LateAnswersTest.java
+++ b/fleet/src/test/java/cacheproxy/supervise/LateAnswersTest.java
@@ -12,49 +12,49 @@
 class LateAnswersTest extends SupervisorFixture {
     @Test
     void aSearchThatCouldNotBeMadeIsRepeatedAfterAPause() {
-        up();
-        agentDies(false, spec("a"));
-        actions.news();
-        core.notSearched(now, "a", 1);
-        core.notSearched(now, "a", 7);
-        core.tick(now);
-        assertEquals(List.of(), actions.news());
-        pass(100); // a fifth of probeMs is over, and forkMs is not
-        assertEquals(List.of("search a 1 11"), actions.news());
-        core.found(now, "a", 1, P1);
-        core.notSearched(now, "a", 1);
+        startReady();
+        restartAgent(false, spec("a"));
+        actions.takeActions();
+        supervisor.searchFailed(now, "a", 1);
+        supervisor.searchFailed(now, "a", 7);
+        supervisor.tick(now);
+        assertEquals(List.of(), actions.takeActions());
+        advanceTime(100); // a fifth of probeMs is over, and forkMs is not
+        assertEquals(List.of("search a 1 11"), actions.takeActions());
+        supervisor.searchCompleted(now, "a", 1, P1);
+        supervisor.searchFailed(now, "a", 1);
         assertEquals(InstanceState.ADOPTED, a().state());
     }
 
     @Test
     void answersAboutEarlierStartsAreIgnored() {
-        up();
-        core.gone(now, "a", 1, 1);
-        core.gone(now, "a", 1, 1);
+        startReady();
+        supervisor.processEnded(now, "a", 1, 1);
+        supervisor.processEnded(now, "a", 1, 1);
         assertEquals(1, a().consecutiveCrashes());
-        core.spawned(now, "a", 1, P1);
-        ready("a", 1);
+        supervisor.spawned(now, "a", 1, P1);
+        reportReady("a", 1);
         assertEquals(InstanceState.BACKING_OFF, a().state());
-        pass(100);
-        core.gone(now, "a", 1, 1);
-        ready("a", 1);
-        mute("a", 1);
-        core.spawnFailed(now, "a", 1, "?");
-        core.found(now, "a", 2, null);
-        core.reloaded(now, "a", 2, true, "", "C9");
+        advanceTime(100);
+        supervisor.processEnded(now, "a", 1, 1);
+        reportReady("a", 1);
+        failHealthCheck("a", 1);
+        supervisor.spawnFailed(now, "a", 1, "?");
+        supervisor.searchCompleted(now, "a", 2, null);
+        supervisor.reloaded(now, "a", 2, true, "", "C9");
         assertEquals(InstanceState.STARTING, a().state());
         assertNull(a().identity());
-        ready("nobody", 1);
+        reportReady("nobody", 1);
     }
 
     @Test
     void aLostProbeIsRepeated() {
-        up();
-        pass(200);
+        startReady();
+        advanceTime(200);
         actions.done.clear();
-        pass(700);
+        advanceTime(700);
         assertFalse(actions.done.contains("probe a 1"));
-        pass(600);
+        advanceTime(600);
         assertTrue(actions.done.contains("probe a 1"));
         assertEquals(InstanceState.READY, a().state()); // it is the agent that lost it
     }
@@ -62,7 +62,7 @@
     @Test
     void aProcessThatCouldNotBeMade() {
         declare(spec("a"));
-        core.spawnFailed(now, "a", 1, "no memory");
+        supervisor.spawnFailed(now, "a", 1, "no memory");
         assertEquals(InstanceState.BACKING_OFF, a().state());
         assertEquals(1, a().consecutiveCrashes());
         assertTrue(a().fault().contains("no memory"));
--- a/fleet/src/test/java/cacheproxy/supervise/SimulatedMachine.java
+++ b/fleet/src/test/java/cacheproxy/supervise/SimulatedMachine.java
@@ -298,14 +298,14 @@
         Supervisor s = new Supervisor(this);
         recalling = true;
         for (JournalRecord e : journal) {
-            s.recall(e);
+            s.replay(e);
         }
         recalling = false;
         agent = s;
         if (trouble(Trouble.COMPACT, 0.2)) {
             compact();
         }
-        s.begin(now());
+        s.searchForProcesses(now());
         s.declare(now(), List.copyOf(declared.values()));
         if (agent != null) {
             toAgent(random.nextInt(TICK), this::tick);
@@ -331,7 +331,7 @@
         journal = anew;
         rollTaken.keySet().removeAll(doneUnwritten);
         doneUnwritten.clear();
-        rollBegun = agent.rolling() == null ? null : rollBegun;
+        rollBegun = agent.rollingRestartProgress() == null ? null : rollBegun;
     }
 
     private void died() {
@@ -374,7 +374,7 @@
     // ---- actions ----
 
     @Override
-    public boolean note(JournalRecord entry) {
+    public boolean appendToJournal(JournalRecord entry) {
         if (recalling) {
             throw broken("notes while it recalls: " + entry);
         }
@@ -410,7 +410,7 @@
             unsure.remove(w.name());
             lastEnded.remove(w.name());
         } else if (entry instanceof JournalRecord.StartAnnounced i && secrets.containsValue(i.secret())) {
-            if (!wasFull && endCode.getOrDefault(i.name(), 0) != Supervisor.HELD
+            if (!wasFull && endCode.getOrDefault(i.name(), 0) != Supervisor.NAME_HELD_EXIT_CODE
                     || i.start() <= lastIntent.getOrDefault(i.name(), 0)) {
                 throw broken(i + " for a holder that nobody met");
             }
@@ -437,7 +437,7 @@
             if (e.failures() > (before == null ? 0 : before.failures()) + 1 && !wasFull && life == 1) {
                 throw broken(e.name() + " counts " + e.failures() + " crashes after " + before);
             }
-            if (e.code() == Supervisor.HELD && before != null && !wasFull && e.failures() > before.failures()) {
+            if (e.code() == Supervisor.NAME_HELD_EXIT_CODE && before != null && !wasFull && e.failures() > before.failures()) {
                 throw broken(e.name() + " counts a held name as a crash: " + e + " after " + before);
             }
             lastEnded.put(e.name(), e);
@@ -492,7 +492,7 @@
         }
         long wait = Math.min(p.backoffMostMs(), p.backoffMs() * (1L << (e.failures() - 1)));
         if (e.code() != NEVER_MADE
-                && e.code() != Supervisor.HELD
+                && e.code() != Supervisor.NAME_HELD_EXIT_CODE
                 && !wasEndedOnPurpose(i.name())
                 && time - endedAt.get(i.name()) < wait) {
             throw broken(i.name() + " is started " + (time - endedAt.get(i.name())) + " ms after crash " + e.failures()
@@ -610,7 +610,7 @@
                 } else {
                     refusals++;
                 }
-                end(p, Supervisor.HELD);
+                end(p, Supervisor.NAME_HELD_EXIT_CODE);
                 return;
             }
         }
@@ -644,7 +644,7 @@
     private void crash(Proc p) {
         if (!calm && p.lives()) {
             int code = 1 + random.nextInt(5);
-            end(p, code == Supervisor.HELD ? 139 : code);
+            end(p, code == Supervisor.NAME_HELD_EXIT_CODE ? 139 : code);
         }
     }
 
@@ -661,9 +661,9 @@
     private void tellGone(Proc p) {
         if (agent != null && watched.contains(p)) {
             int code = p.maker == life ? p.code : -1;
-            toAgent(late(100), () -> agent.gone(now(), p.name, p.start, code));
+            toAgent(late(100), () -> agent.processEnded(now(), p.name, p.start, code));
             if (trouble(Trouble.TWICE, 0.1)) {
-                toAgent(late(2500), () -> agent.gone(now(), p.name, p.start, code));
+                toAgent(late(2500), () -> agent.processEnded(now(), p.name, p.start, code));
             }
         }
     }
@@ -706,7 +706,7 @@
     @Override
     public void search(String name, int start, UniqueProcessId identity, String secret) {
         point("before search");
-        if (!wasFull && endCode.getOrDefault(name, 0) != Supervisor.HELD) { // else also those before it
+        if (!wasFull && endCode.getOrDefault(name, 0) != Supervisor.NAME_HELD_EXIT_CODE) { // else also those before it
             current(name, start, "search");
         }
         if (!secret.equals(secrets.get(name + "/" + start))) {
@@ -735,7 +735,7 @@
                 if (it != null) {
                     watched.add(it);
                 }
-                agent.found(now(), name, start, it == null ? null : it.identity);
+                agent.searchCompleted(now(), name, start, it == null ? null : it.identity);
                 if (it != null && it.dead) {
                     tellGone(it);
                 }
@@ -868,7 +868,7 @@
     }
 
     @Override
-    public void say(String name, String what) {
+    public void logEvent(String name, String what) {
         log("say " + name + ": " + what);
         givenUp += what.startsWith("given up") ? 1 : 0;
         hung += what.startsWith("hung") ? 1 : 0;
@@ -946,13 +946,13 @@
         if (what < 4 && trouble(Trouble.DECLARE, 1)) {
             Map<String, InstanceSpec> site = draw();
             JournalRecord.SiteDeclared entry = new JournalRecord.SiteDeclared(text(site));
-            if (note(entry)) {
+            if (appendToJournal(entry)) {
                 declare(site);
                 agent.declare(now(), List.copyOf(declared.values()));
             }
         } else if (what < 6 && trouble(Trouble.WISH, 1)) {
             boolean running = random.nextInt(3) > 0;
-            wished(name, running, "want " + name + " " + running, () -> agent.want(now(), name, running));
+            wished(name, running, "want " + name + " " + running, () -> agent.setDesiredState(now(), name, running));
         } else if (what == 6 && trouble(Trouble.WISH, 1)) {
             wished(name, true, "restart " + name, () -> agent.restart(now(), name));
         } else if (what == 7 && trouble(Trouble.WISH, 1)) {
@@ -961,7 +961,7 @@
             List<String> some = new ArrayList<>(names);
             some.removeIf(n -> random.nextInt(5) == 0);
             log("wish roll " + some);
-            log(agent.roll(now(), some, 1 + random.nextInt(2)));
+            log(agent.beginRollingRestart(now(), some, 1 + random.nextInt(2)));
         }
     }
 
@@ -1099,8 +1099,8 @@
         if (agent == null) {
             return "no agent";
         }
-        if (agent.rolling() != null) {
-            return "rolling restart: " + agent.rolling();
+        if (agent.rollingRestartProgress() != null) {
+            return "rolling restart: " + agent.rollingRestartProgress();
         }
         for (Instance m : agent.instances()) {
             if (!declared.containsKey(m.name)) {
--- a/fleet/src/test/java/cacheproxy/supervise/SupervisorFixture.java
+++ b/fleet/src/test/java/cacheproxy/supervise/SupervisorFixture.java
@@ -18,16 +18,16 @@
     static final class RecordedActions implements SupervisorActions {
         final List<JournalRecord> journal = new ArrayList<>();
         final List<String> done = new ArrayList<>();
-        final List<String> said = new ArrayList<>();
-        boolean full;
+        final List<String> logged = new ArrayList<>();
+        boolean journalFails;
         int secrets;
 
         @Override
-        public boolean note(JournalRecord entry) {
-            if (!full) {
+        public boolean appendToJournal(JournalRecord entry) {
+            if (!journalFails) {
                 journal.add(entry);
             }
-            return !full;
+            return !journalFails;
         }
 
         @Override
@@ -72,25 +72,25 @@
         }
 
         @Override
-        public void say(String name, String what) {
-            said.add(name + ": " + what);
+        public void logEvent(String name, String what) {
+            logged.add(name + ": " + what);
         }
 
         /** What was done since, probes left out. */
-        List<String> news() {
+        List<String> takeActions() {
             List<String> news = new ArrayList<>(done);
             news.removeIf(s -> s.startsWith("probe"));
             done.clear();
             return news;
         }
 
-        boolean said(String part) {
-            return said.stream().anyMatch(s -> s.contains(part));
+        boolean hasLogged(String part) {
+            return logged.stream().anyMatch(s -> s.contains(part));
         }
     }
 
     RecordedActions actions = new RecordedActions();
-    Supervisor core = new Supervisor(actions);
+    Supervisor supervisor = new Supervisor(actions);
     long now;
 
     static InstanceSpec spec(String name, String launch, String configuration, SupervisionPolicy policy) {
@@ -101,41 +101,41 @@
         return spec(name, "L1", "C1", POLICY);
     }
 
-    static SupervisionPolicy killing(long after) {
+    static SupervisionPolicy policyWithKillAfter(long after) {
         return new SupervisionPolicy(3000, 1000, 800, after, 100, 500, 4, 2000, 200, 400);
     }
 
     Instance a() {
-        return core.instance("a");
+        return supervisor.instance("a");
     }
 
     void declare(InstanceSpec... specs) {
-        core.declare(now, List.of(specs));
+        supervisor.declare(now, List.of(specs));
     }
 
     /** Time goes on in ticks; whoever is asked answers so. */
-    void pass(long ms, Runnable answers) {
+    void advanceTime(long ms, Runnable answers) {
         for (long end = now + ms; now < end; ) {
             now += 100;
             answers.run();
-            core.tick(now);
+            supervisor.tick(now);
         }
     }
 
-    void pass(long ms) {
-        pass(ms, () -> {});
+    void advanceTime(long ms) {
+        advanceTime(ms, () -> {});
     }
 
-    void mute(String name, int start) {
-        core.probeFailed(now, name, start, "no answer");
+    void failHealthCheck(String name, int start) {
+        supervisor.probeFailed(now, name, start, "no answer");
     }
 
-    void ready(String name, int start) {
-        core.probed(now, name, start, true, "", "C1");
+    void reportReady(String name, int start) {
+        supervisor.probed(now, name, start, true, "", "C1");
     }
 
     /** a and perhaps others, started once and ready. */
-    void up(SupervisionPolicy policy, String... names) {
+    void startReady(SupervisionPolicy policy, String... names) {
         InstanceSpec[] specs = new InstanceSpec[names.length];
         for (int i = 0; i < names.length; i++) {
             specs[i] = spec(names[i], "L1", "C1", policy);
@@ -143,32 +143,32 @@
         declare(specs);
         int pid = 11;
         for (String name : names) {
-            core.spawned(now, name, 1, new UniqueProcessId(pid, pid++ == 11 ? 100 : 200, "boot"));
-            ready(name, 1);
-            assertEquals(InstanceState.READY, core.instance(name).state());
+            supervisor.spawned(now, name, 1, new UniqueProcessId(pid, pid++ == 11 ? 100 : 200, "boot"));
+            reportReady(name, 1);
+            assertEquals(InstanceState.READY, supervisor.instance(name).state());
         }
-        actions.news();
+        actions.takeActions();
     }
 
-    void up() {
-        up(POLICY, "a");
+    void startReady() {
+        startReady(POLICY, "a");
     }
 
     /** The agent dies; the next one's clock begins anew. */
-    void agentDies(boolean compacted, InstanceSpec... specs) {
-        List<JournalRecord> journal = compacted ? core.snapshot() : actions.journal;
+    void restartAgent(boolean compacted, InstanceSpec... specs) {
+        List<JournalRecord> journal = compacted ? supervisor.snapshot() : actions.journal;
         actions = new RecordedActions();
         actions.journal.addAll(journal);
-        core = new Supervisor(actions);
+        supervisor = new Supervisor(actions);
         now = 0;
         journal = List.copyOf(journal);
-        journal.forEach(core::recall);
-        core.begin(now);
+        journal.forEach(supervisor::replay);
+        supervisor.searchForProcesses(now);
         declare(specs);
     }
 
     void crash(int start) {
-        core.spawned(now, "a", start, P1);
-        core.gone(now, "a", start, 1);
+        supervisor.spawned(now, "a", start, P1);
+        supervisor.processEnded(now, "a", start, 1);
     }
 }
