--- a/fleet/src/test/java/cacheproxy/supervise/AgentRestartTest.java
+++ b/fleet/src/test/java/cacheproxy/supervise/AgentRestartTest.java
@@ -8,10 +8,10 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** The next agent goes on from the journal, whatever the one before was doing. */
+/** An agent resumes from the journal of its predecessor, whatever state that agent died in. */
 class AgentRestartTest extends SupervisorFixture {
     @Test
-    void agentDiesBetweenTheAnnouncementAndTheFork() {
+    void restartsInstanceWhoseProcessWasNeverCreatedAfterTheAnnouncement() {
         declare(spec("a"));
         for (boolean compacted : new boolean[] {false, true}) {
             restartAgent(compacted, spec("a"));
@@ -22,29 +22,29 @@
         now = 300;
         supervisor.tick(now);
         assertEquals(List.of("search a 1"), actions.takeActions());
-        supervisor.searchCompleted(now, "a", 1, null); // a fork may still be under way
+        supervisor.searchCompleted(now, "a", 1, null); // the fork may still be in progress
         assertEquals(InstanceState.ADOPTED, a().state());
         advanceTime(200);
         assertEquals(List.of("search a 1"), actions.takeActions());
         supervisor.searchCompleted(now, "a", 1, null);
         assertEquals(List.of("spawn a 2"), actions.takeActions());
-        assertEquals(0, a().consecutiveCrashes()); // no crash
+        assertEquals(0, a().consecutiveCrashes()); // not counted as a crash
         assertTrue(actions.hasLogged("was announced and never made"));
     }
 
     @Test
-    void aSearchAnsweredLate() {
+    void ignoresSearchResultThatMayPredateTheForkDeadline() {
         declare(spec("a"));
         restartAgent(false, spec("a"));
         actions.takeActions();
         advanceTime(300);
-        assertEquals(List.of(), actions.takeActions()); // one search at a time
+        assertEquals(List.of(), actions.takeActions()); // only one search at a time
         advanceTime(100);
-        assertEquals(List.of("search a 1"), actions.takeActions()); // that one was lost
+        assertEquals(List.of("search a 1"), actions.takeActions()); // the first search counts as lost
         restartAgent(false, spec("a"));
         actions.takeActions();
-        now = 700; // no tick meanwhile
-        supervisor.searchCompleted(now, "a", 1, null); // who knows when it looked
+        now = 700; // without a tick in between
+        supervisor.searchCompleted(now, "a", 1, null); // the search may have run before the process had to exist
         assertEquals(InstanceState.ADOPTED, a().state());
         supervisor.tick(now);
         assertEquals(List.of("search a 1"), actions.takeActions());
@@ -53,7 +53,7 @@
     }
 
     @Test
-    void aStartNeverMadeIsSearchedAgainWhileTheJournalCannotBeWritten() {
+    void repeatsSearchWhileTheEndOfAStartCannotBeJournaled() {
         declare(spec("a"));
         restartAgent(false, spec("a"));
         advanceTime(300);
@@ -65,12 +65,12 @@
         assertEquals(InstanceState.ADOPTED, a().state());
         advanceTime(200);
         assertEquals(List.of("search a 1"), actions.takeActions());
-        supervisor.searchCompleted(now, "a", 1, P1); // and it was there after all
+        supervisor.searchCompleted(now, "a", 1, P1); // the process exists after all
         assertEquals(P1, a().identity());
     }
 
     @Test
-    void agentDiesBetweenTheForkAndItsRecord() {
+    void adoptsProcessWhosePidWasNotJournaled() {
         declare(spec("a"));
         restartAgent(false, spec("a"));
         supervisor.searchCompleted(now, "a", 1, P1);
@@ -78,17 +78,17 @@
         assertEquals(new JournalRecord.ProcessStarted("a", 1, P1), actions.journal.get(actions.journal.size() - 1));
         reportReady("a", 1);
         assertEquals(InstanceState.READY, a().state());
-        assertEquals(List.of("search a 1"), actions.takeActions()); // not started twice
+        assertEquals(List.of("search a 1"), actions.takeActions()); // no second start
         assertEquals("s1", a().secret());
     }
 
     @Test
-    void agentDiesWithAllInstancesReady() {
+    void adoptsAllReadyInstancesWithoutRestart() {
         startReady(POLICY, "a", "b");
         for (boolean compacted : new boolean[] {false, true}) {
             restartAgent(compacted, spec("a"), spec("b"));
             assertEquals(List.of("search a 1 11", "search b 1 12"), actions.takeActions());
-            advanceTime(300); // its clock began anew
+            advanceTime(300); // the clock of the new agent starts at 0
             assertEquals(InstanceState.ADOPTED, a().state());
             supervisor.searchCompleted(now, "a", 1, P1);
             supervisor.searchCompleted(now, "b", 1, P2);
@@ -100,10 +100,10 @@
     }
 
     @Test
-    void aProcessWhosePidIsReusedHasEndedWithCodeUnknown() {
+    void reportsUnknownExitCodeWhenThePidWasReused() {
         startReady();
         restartAgent(false, spec("a"));
-        supervisor.searchCompleted(now, "a", 1, null); // the adapter saw other ticks
+        supervisor.searchCompleted(now, "a", 1, null); // the process with this pid has another start time
         assertEquals(InstanceState.BACKING_OFF, a().state());
         assertEquals(-1, a().exitCode());
         assertTrue(actions.hasLogged("crashed, code unknown"));
@@ -112,7 +112,7 @@
     }
 
     @Test
-    void anAdoptedProcessEndsWithCodeUnknown() {
+    void reportsUnknownExitCodeOfAdoptedProcess() {
         startReady();
         restartAgent(true, spec("a"));
         supervisor.searchCompleted(now, "a", 1, P1);
@@ -123,7 +123,7 @@
     }
 
     @Test
-    void theNextAgentHonoursBackoffAndGivingUp() {
+    void keepsBackoffAndGivenUpStateAcrossAgentRestart() {
         declare(spec("a"));
         crash(1);
         advanceTime(100);
@@ -151,7 +151,7 @@
     }
 
     @Test
-    void aSnapshotKeepsTheCrashesOfARunningInstance() {
+    void keepsCrashCountOfRunningInstanceInSnapshot() {
         declare(spec("a"));
         crash(1);
         advanceTime(100);
@@ -165,7 +165,7 @@
     }
 
     @Test
-    void anAdoptedInstanceNotReadyInTimeIsTerminated() {
+    void terminatesAdoptedInstanceThatIsNotReadyInTime() {
         declare(spec("a"));
         supervisor.spawned(now, "a", 1, P1);
         restartAgent(false, spec("a"));
@@ -178,7 +178,7 @@
     }
 
     @Test
-    void operationsWhileTheProcessIsSearchedFor() {
+    void defersCommandsWhileSearchingForTheProcess() {
         startReady(POLICY, "a", "b", "c", "d");
         restartAgent(false, spec("a"), spec("b"), spec("c"), spec("d"));
         actions.takeActions();
@@ -186,7 +186,7 @@
         assertNull(supervisor.restart(now, "b"));
         assertNotNull(supervisor.reload(now, "c"));
         declare(spec("a"), spec("b"), spec("c")); // d is removed
-        assertEquals(List.of(), actions.takeActions()); // nothing until it is known who they are
+        assertEquals(List.of(), actions.takeActions()); // nothing until the processes are identified
         assertEquals(InstanceState.ADOPTED, supervisor.instance("d").state());
         supervisor.searchCompleted(now, "a", 1, P1);
         supervisor.searchCompleted(now, "b", 1, P2);
@@ -202,7 +202,7 @@
     }
 
     @Test
-    void aStoppedInstanceStaysStoppedForTheNextAgent() {
+    void keepsStopCommandAcrossAgentRestart() {
         startReady();
         supervisor.setDesiredState(now, "a", false);
         restartAgent(true, spec("a"));
@@ -216,7 +216,7 @@
     }
 
     @Test
-    void theForkTimeIsThatOfThePolicy() {
+    void usesForkTimeOfThePolicy() {
         SupervisionPolicy slow = new SupervisionPolicy(3000, 1000, 800, -1, 100, 500, 4, 2000, 200, 9000);
         declare(spec("a", "L1", "C1", slow));
         restartAgent(false, spec("a", "L1", "C1", slow));
--- a/fleet/src/test/java/cacheproxy/supervise/ConfigurationReloadsTest.java
+++ b/fleet/src/test/java/cacheproxy/supervise/ConfigurationReloadsTest.java
@@ -7,10 +7,10 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** An instance comes to the configuration declared, or its refusal is known. */
+/** Every instance ends up with the declared configuration, or its rejection is reported. */
 class ConfigurationReloadsTest extends SupervisorFixture {
     @Test
-    void aChangedConfigurationIsReloadedAndOneInstanceRefusesIt() {
+    void reloadsChangedConfigurationAndReportsRejection() {
         startReady(POLICY, "a", "b");
         InstanceSpec a2 = spec("a", "L1", "C2", POLICY);
         InstanceSpec b2 = spec("b", "L1", "C2", POLICY);
@@ -31,9 +31,9 @@
             reportReady("b", 1);
             supervisor.probed(now, "a", 1, true, "", "C2");
         }
-        assertEquals(List.of(), actions.takeActions()); // not again and again
+        assertEquals(List.of(), actions.takeActions()); // a rejected configuration is not sent again
         assertTrue(b.fault().contains("line 3"));
-        declare(a2, spec("b")); // back to what it has
+        declare(a2, spec("b")); // back to the configuration in use
         assertEquals("", b.refusalReason());
         reportReady("b", 1);
         assertEquals("", b.fault());
@@ -42,11 +42,11 @@
     }
 
     @Test
-    void aReloadSucceedsWhileTheConfigurationChangesAgain() {
+    void reloadsAgainWhenTheConfigurationChangedDuringAReload() {
         startReady();
         declare(spec("a", "L1", "C2", POLICY));
         declare(spec("a", "L1", "C3", POLICY));
-        assertEquals(List.of("reload a 1"), actions.takeActions()); // one at a time
+        assertEquals(List.of("reload a 1"), actions.takeActions()); // only one reload at a time
         supervisor.reloaded(now, "a", 1, true, "", "C2");
         assertEquals(List.of("reload a 1"), actions.takeActions());
         supervisor.reloaded(now, "a", 1, true, "", "C3");
@@ -55,26 +55,26 @@
     }
 
     @Test
-    void reloadsThatNeverYieldTheDeclaredConfigurationArePaced() {
+    void delaysReloadsThatDoNotYieldTheDeclaredConfiguration() {
         startReady();
         declare(spec("a", "L1", "C2", POLICY));
         advanceTime(1000, () -> supervisor.reloaded(now, "a", 1, true, "", "C9"));
-        assertEquals(4, actions.takeActions().size()); // probeMs after each answer, and not at once
+        assertEquals(4, actions.takeActions().size()); // one probeMs after each answer, not immediately
     }
 
     @Test
-    void aRefusalWhileAnotherConfigurationIsDeclared() {
+    void ignoresRejectionOfAnOutdatedConfiguration() {
         startReady();
         declare(spec("a", "L1", "C2", POLICY));
         declare(spec("a", "L1", "C3", POLICY));
         actions.takeActions();
         supervisor.reloaded(now, "a", 1, false, "line 3", "");
-        assertEquals("", a().refusalReason()); // that was C2
-        assertEquals(List.of("reload a 1"), actions.takeActions()); // C3 was not asked about yet
+        assertEquals("", a().refusalReason()); // the rejection concerned C2
+        assertEquals(List.of("reload a 1"), actions.takeActions()); // C3 has not been tried yet
     }
 
     @Test
-    void anInstanceThatDoesNotAnswerAReloadIsHung() {
+    void marksInstanceHungThatDoesNotAnswerAReload() {
         startReady();
         supervisor.reload(now, "a");
         assertEquals(List.of("reload a 1"), actions.takeActions());
@@ -85,7 +85,7 @@
     }
 
     @Test
-    void aReloadThatDoesNotReachTheInstanceIsRetriedWithBackoff() {
+    void retriesUndeliveredReloadWithBackoff() {
         startReady();
         declare(spec("a", "L1", "C2", POLICY));
         assertEquals(List.of("reload a 1"), actions.takeActions());
@@ -95,15 +95,15 @@
         assertTrue(actions.hasLogged("a: reload failed: nobody listens; is asked again in 200 ms"));
         advanceTime(100, () -> reportReady("a", 1));
         assertEquals(List.of(), actions.takeActions());
-        assertTrue(a().fault().contains("reload failed")); // also while it answers
+        assertTrue(a().fault().contains("reload failed")); // even while health checks are answered
         advanceTime(100, () -> reportReady("a", 1));
         assertEquals(List.of("reload a 1"), actions.takeActions());
         advanceTime(10_000, () -> {
             reportReady("a", 1);
             supervisor.reloadFailed(now, "a", 1, "nobody listens");
         });
-        int asks = actions.takeActions().size();
-        assertTrue(asks >= 15 && asks <= 22, asks + " times"); // 500 ms between two, and a tick
+        int reloadCount = actions.takeActions().size();
+        assertTrue(reloadCount >= 15 && reloadCount <= 22, reloadCount + " times"); // backoff of 500 ms plus one tick
         supervisor.reloadFailed(now, "a", 1, "nobody listens");
         advanceTime(600, () -> reportReady("a", 1));
         supervisor.reloaded(now, "a", 1, true, "", "C2");
@@ -113,9 +113,9 @@
         assertEquals(List.of(), actions.takeActions());
     }
 
-    /** A wish to read the same configuration again is not lost either. */
+    /** A requested reload must not be lost, even if the configuration is unchanged. */
     @Test
-    void aRequestedReloadThatDoesNotReachTheInstanceIsRetried() {
+    void retriesUndeliveredReloadOfUnchangedConfiguration() {
         startReady();
         assertNull(supervisor.reload(now, "a"));
         supervisor.reloadFailed(now, "a", 1, "nobody listens");
--- a/fleet/src/test/java/cacheproxy/supervise/DesiredStateTest.java
+++ b/fleet/src/test/java/cacheproxy/supervise/DesiredStateTest.java
@@ -9,10 +9,10 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** Starts, stops, restarts and removals, at any point of an instance's life. */
+/** Starts, stops, restarts and removals in every state of an instance. */
 class DesiredStateTest extends SupervisorFixture {
     @Test
-    void aStartDuringAStopIsNoCrash() {
+    void doesNotCountACrashWhenStartedDuringAStop() {
         startReady();
         supervisor.setDesiredState(now, "a", false);
         supervisor.setDesiredState(now, "a", true);
@@ -22,7 +22,7 @@
     }
 
     @Test
-    void aStopDuringBackoffOrAfterGivingUp() {
+    void stopsInstanceInBackoffOrGivenUp() {
         declare(spec("a"));
         crash(1);
         supervisor.setDesiredState(now, "a", false);
@@ -38,7 +38,7 @@
     }
 
     @Test
-    void aStopOfAnInstanceTerminatedForNotGettingReady() {
+    void stopsInstanceBeingTerminatedForAReadinessTimeout() {
         declare(spec("a"));
         supervisor.spawned(now, "a", 1, P1);
         advanceTime(3200);
@@ -51,11 +51,11 @@
         reportReady("a", 2);
         supervisor.restart(now, "a");
         supervisor.processEnded(now, "a", 2, 0);
-        assertEquals(InstanceState.STARTING, a().state()); // the trouble of its first start is forgotten
+        assertEquals(InstanceState.STARTING, a().state()); // the readiness timeout of the first start is cleared
     }
 
     @Test
-    void aStopBeforeThePidIsKnown() {
+    void terminatesInstanceStoppedBeforeItsPidIsKnown() {
         declare(spec("a"));
         supervisor.setDesiredState(now, "a", false);
         assertEquals(InstanceState.STARTING, a().state());
@@ -64,11 +64,12 @@
     }
 
     @Test
-    void aRestartBeforeThePidIsKnown() {
+    void skipsRestartBeforeThePidIsKnownUnlessOutdated() {
         declare(spec("a"));
         supervisor.restart(now, "a");
         supervisor.spawned(now, "a", 1, P1);
-        assertEquals(List.of("spawn a 1"), actions.takeActions()); // it is fresh
+        // no termination: the announced start already uses the declared launch parameters
+        assertEquals(List.of("spawn a 1"), actions.takeActions());
         reportReady("a", 1);
         supervisor.processEnded(now, "a", 1, 1);
         advanceTime(100);
@@ -83,7 +84,7 @@
     }
 
     @Test
-    void anOperationThatCannotBeWrittenIsRejected() {
+    void rejectsCommandThatCannotBeJournaled() {
         startReady();
         actions.journalFails = true;
         assertTrue(supervisor.setDesiredState(now, "a", false).contains("journal"));
@@ -94,11 +95,11 @@
     }
 
     @Test
-    void aRemovedInstanceIsTerminatedAndForgotten() {
+    void terminatesAndDropsRemovedInstance() {
         startReady(POLICY, "a", "b");
         declare(spec("b"));
         assertEquals(List.of("terminate a 11"), actions.takeActions());
-        assertEquals(InstanceState.STOPPING, a().state()); // shown while it lives
+        assertEquals(InstanceState.STOPPING, a().state()); // still listed while its process runs
         assertNotNull(supervisor.setDesiredState(now, "a", true));
         assertNotNull(supervisor.restart(now, "a"));
         assertNotNull(supervisor.reload(now, "a"));
@@ -109,23 +110,23 @@
     }
 
     @Test
-    void aRemovedInstanceIsDeclaredAgain() {
+    void continuesStartNumbersWhenARemovedInstanceIsDeclaredAgain() {
         startReady();
         supervisor.setDesiredState(now, "a", false);
         supervisor.processEnded(now, "a", 1, 0);
         declare();
         assertNull(a());
         declare(spec("a"));
-        assertEquals(List.of("terminate a 11", "spawn a 2"), actions.takeActions()); // counts on
+        assertEquals(List.of("terminate a 11", "spawn a 2"), actions.takeActions()); // start numbers continue
         supervisor.spawned(now, "a", 2, P2);
-        supervisor.processEnded(now, "a", 1, 0); // late, and of the past
+        supervisor.processEnded(now, "a", 1, 0); // late report about an earlier start
         assertEquals(InstanceState.STARTING, a().state());
         restartAgent(false, spec("a"));
         assertTrue(a().wanted());
     }
 
     @Test
-    void aRemovedInstanceIsNotForgottenBeforeItsResetIsInTheJournal() {
+    void keepsRemovedInstanceUntilItsResetIsJournaled() {
         startReady();
         supervisor.setDesiredState(now, "a", false);
         supervisor.processEnded(now, "a", 1, 0);
@@ -139,7 +140,7 @@
     }
 
     @Test
-    void anInstanceIsDeclaredAgainWhileItIsTerminated() {
+    void startsInstanceDeclaredAgainDuringTermination() {
         startReady();
         declare();
         declare(spec("a"));
@@ -149,7 +150,7 @@
     }
 
     @Test
-    void aChangedLaunchMakesOutdatedAndDoesNotRestart() {
+    void marksInstanceOutdatedWithoutRestartWhenTheLaunchChanges() {
         startReady();
         declare(spec("a", "L2", "C1", POLICY));
         assertTrue(a().outdated());
--- a/fleet/src/test/java/cacheproxy/supervise/LateAnswersTest.java
+++ b/fleet/src/test/java/cacheproxy/supervise/LateAnswersTest.java
@@ -8,10 +8,10 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** Answers that come late, twice, or not at all. */
+/** Results that arrive late, twice, or never. */
 class LateAnswersTest extends SupervisorFixture {
     @Test
-    void aSearchThatCouldNotBeMadeIsRepeatedAfterAPause() {
+    void repeatsFailedSearchAfterADelay() {
         startReady();
         restartAgent(false, spec("a"));
         actions.takeActions();
@@ -19,7 +19,7 @@
         supervisor.searchFailed(now, "a", 7);
         supervisor.tick(now);
         assertEquals(List.of(), actions.takeActions());
-        advanceTime(100); // a fifth of probeMs is over, and forkMs is not
+        advanceTime(100); // a fifth of probeMs has passed, but not forkMs
         assertEquals(List.of("search a 1 11"), actions.takeActions());
         supervisor.searchCompleted(now, "a", 1, P1);
         supervisor.searchFailed(now, "a", 1);
@@ -27,7 +27,7 @@
     }
 
     @Test
-    void answersAboutEarlierStartsAreIgnored() {
+    void ignoresResultsOfEarlierStarts() {
         startReady();
         supervisor.processEnded(now, "a", 1, 1);
         supervisor.processEnded(now, "a", 1, 1);
@@ -48,19 +48,19 @@
     }
 
     @Test
-    void aLostProbeIsRepeated() {
+    void repeatsLostHealthCheck() {
         startReady();
         advanceTime(200);
-        actions.done.clear();
+        actions.requestedActions.clear();
         advanceTime(700);
-        assertFalse(actions.done.contains("probe a 1"));
+        assertFalse(actions.requestedActions.contains("probe a 1"));
         advanceTime(600);
-        assertTrue(actions.done.contains("probe a 1"));
-        assertEquals(InstanceState.READY, a().state()); // it is the agent that lost it
+        assertTrue(actions.requestedActions.contains("probe a 1"));
+        assertEquals(InstanceState.READY, a().state()); // the agent lost the result; the instance is not at fault
     }
 
     @Test
-    void aProcessThatCouldNotBeMade() {
+    void countsFailedProcessCreationAsACrash() {
         declare(spec("a"));
         supervisor.spawnFailed(now, "a", 1, "no memory");
         assertEquals(InstanceState.BACKING_OFF, a().state());
--- a/fleet/src/test/java/cacheproxy/supervise/NameHolderSearchTest.java
+++ b/fleet/src/test/java/cacheproxy/supervise/NameHolderSearchTest.java
@@ -8,32 +8,35 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** A start that finds its name held by another process: its own earlier start, or a stranger. */
+/** Starts that find their name lock held, by the process of an earlier start or by an unknown process. */
 class NameHolderSearchTest extends SupervisorFixture {
-    /** Start 1 was announced, its agent died, nobody found it in time, and start 2 met its lock. */
-    private void heldByTheFirst(boolean compacted) {
+    /**
+     * Start 1 is announced and its agent dies. Its process is not found in time, so start 2 is made and finds the name
+     * lock held.
+     */
+    private void startWithNameHeldByFirstStart(boolean compacted) {
         declare(spec("a"));
         restartAgent(compacted, spec("a"));
         advanceTime(600, () -> supervisor.searchCompleted(now, "a", 1, null));
-        List<String> news = actions.takeActions();
-        assertEquals("spawn a 2", news.get(news.size() - 1));
+        List<String> recorded = actions.takeActions();
+        assertEquals("spawn a 2", recorded.get(recorded.size() - 1));
         supervisor.spawned(now, "a", 2, P2);
         supervisor.processEnded(now, "a", 2, Supervisor.NAME_HELD_EXIT_CODE);
     }
 
     @Test
-    void aHeldNameIsNoCrashAndItsHolderIsAdopted() {
+    void adoptsLockHolderWithoutCountingACrash() {
         for (boolean compacted : new boolean[] {false, true}) {
             actions = new RecordedActions();
             supervisor = new Supervisor(actions);
             now = 0;
-            heldByTheFirst(compacted);
+            startWithNameHeldByFirstStart(compacted);
             assertEquals(List.of("search a 1"), actions.takeActions());
             assertEquals(InstanceState.ADOPTED, a().state());
             assertEquals(0, a().consecutiveCrashes());
             assertEquals("its name is held by another process", a().fault());
             assertTrue(actions.hasLogged("ended, code 3: its name is held by another process"));
-            supervisor.spawned(now, "a", 2, P2); // late, of the one that has ended
+            supervisor.spawned(now, "a", 2, P2); // late report about the start that has ended
             reportReady("a", 2);
             supervisor.processEnded(now, "a", 2, Supervisor.NAME_HELD_EXIT_CODE);
             assertEquals(InstanceState.ADOPTED, a().state());
@@ -55,12 +58,12 @@
     }
 
     @Test
-    void theNextAgentSearchesForTheHolderToo() {
+    void resumesSearchForLockHolderAfterAgentRestart() {
         for (boolean compacted : new boolean[] {false, true}) {
             actions = new RecordedActions();
             supervisor = new Supervisor(actions);
             now = 0;
-            heldByTheFirst(false);
+            startWithNameHeldByFirstStart(false);
             restartAgent(compacted, spec("a"));
             assertEquals(List.of("search a 1"), actions.takeActions());
             assertEquals(InstanceState.ADOPTED, a().state());
@@ -70,14 +73,14 @@
         }
     }
 
-    /** Its end was told wrongly: nobody had an exit code. */
+    /** The end of the process was reported without an exit code, although the process still runs. */
     @Test
-    void aProcessTakenForGoneIsAdoptedAgain() {
+    void adoptsProcessWhoseEndWasReportedWrongly() {
         startReady();
         supervisor.processEnded(now, "a", 1, -1);
         assertEquals(1, a().consecutiveCrashes());
         advanceTime(100);
-        crash(2); // seen to end, so it holds nothing
+        crash(2); // observed to end, so it cannot hold the lock
         advanceTime(200);
         actions.takeActions();
         supervisor.spawned(now, "a", 3, P2);
@@ -90,7 +93,7 @@
     }
 
     @Test
-    void aProcessTakenForGoneWhileTheJournalFailedIsKnownToTheNextAgent() {
+    void remembersUnconfirmedStartWhoseEndCouldNotBeJournaled() {
         startReady();
         actions.journalFails = true;
         supervisor.processEnded(now, "a", 1, -1);
@@ -105,7 +108,7 @@
     }
 
     @Test
-    void aProcessNeverSeenIsKnownAfterItsInstanceWasRemoved() {
+    void remembersUnconfirmedStartsOfRemovedInstance() {
         declare(spec("a"));
         crash(1);
         advanceTime(100);
@@ -122,14 +125,14 @@
         assertTrue(start > 3, start + "");
         actions.takeActions();
         supervisor.processEnded(now, "a", start, Supervisor.NAME_HELD_EXIT_CODE);
-        assertEquals(List.of("search a 3"), actions.takeActions()); // nobody can tell that it was never made
+        assertEquals(List.of("search a 3"), actions.takeActions()); // whether start 3 ever had a process is unknown
         supervisor.searchCompleted(now, "a", 3, null);
         assertEquals(List.of("search a 2"), actions.takeActions());
     }
 
     @Test
-    void aNameHeldByAStrangerIsRetriedWithBackoffAndNeverGivenUp() {
-        heldByTheFirst(false);
+    void retriesWithoutGivingUpWhileAnUnknownProcessHoldsTheName() {
+        startWithNameHeldByFirstStart(false);
         for (int start = 2; start < 40; start++) {
             supervisor.searchCompleted(now, "a", 1, null);
             assertEquals(InstanceState.BACKING_OFF, a().state());
@@ -142,15 +145,15 @@
             supervisor.spawned(now, "a", start + 1, P2);
             supervisor.processEnded(now, "a", start + 1, Supervisor.NAME_HELD_EXIT_CODE);
             assertEquals(0, a().consecutiveCrashes());
-            assertEquals(List.of("search a 1"), actions.takeActions()); // its secret is known still
+            assertEquals(List.of("search a 1"), actions.takeActions()); // the secret of start 1 is still known
         }
         supervisor.searchCompleted(now, "a", 1, P1);
         assertEquals("s1", a().secret());
     }
 
     @Test
-    void aStopOfAnInstanceWhoseNameIsHeldTerminatesTheHolder() {
-        heldByTheFirst(false);
+    void terminatesLockHolderWhenTheInstanceIsStopped() {
+        startWithNameHeldByFirstStart(false);
         supervisor.setDesiredState(now, "a", false);
         assertEquals(InstanceState.ADOPTED, a().state());
         actions.takeActions();
@@ -161,8 +164,8 @@
     }
 
     @Test
-    void aStopOrRemovalWhileAStrangerHoldsTheName() {
-        heldByTheFirst(false);
+    void stopsOrRemovesInstanceWhileAnUnknownProcessHoldsTheName() {
+        startWithNameHeldByFirstStart(false);
         supervisor.setDesiredState(now, "a", false);
         supervisor.searchCompleted(now, "a", 1, null);
         assertEquals(InstanceState.STOPPED, a().state());
@@ -172,25 +175,25 @@
         supervisor.searchCompleted(now, "a", 1, null);
         assertNull(a());
         assertEquals(
-                1, actions.logged.stream().filter(s -> s.contains("forgotten")).count());
-        declare(spec("a")); // what it might meet is not forgotten
+                1, actions.loggedEvents.stream().filter(s -> s.contains("forgotten")).count());
+        declare(spec("a")); // unconfirmed starts are kept across the removal
         actions.takeActions();
         supervisor.processEnded(now, "a", 4, Supervisor.NAME_HELD_EXIT_CODE);
         assertEquals(List.of("search a 1"), actions.takeActions());
     }
 
     @Test
-    void onceAStartHasTheNameOnlyStartsNeverSeenMayStillCome() {
-        for (boolean seen : new boolean[] {false, true}) {
+    void dropsObservedUnconfirmedStartsOnceAStartHoldsTheName() {
+        for (boolean observed : new boolean[] {false, true}) {
             for (boolean compacted : new boolean[] {false, true}) {
                 actions = new RecordedActions();
                 supervisor = new Supervisor(actions);
                 now = 0;
-                if (seen) {
+                if (observed) {
                     startReady();
                     supervisor.processEnded(now, "a", 1, -1);
                 } else {
-                    heldByTheFirst(false);
+                    startWithNameHeldByFirstStart(false);
                     supervisor.searchCompleted(now, "a", 1, null);
                 }
                 advanceTime(300);
@@ -204,15 +207,15 @@
                 advanceTime(400);
                 actions.takeActions();
                 supervisor.processEnded(now, "a", start + 1, Supervisor.NAME_HELD_EXIT_CODE);
-                assertEquals(seen ? List.of() : List.of("search a 1"), actions.takeActions());
-                assertEquals(seen ? InstanceState.BACKING_OFF : InstanceState.ADOPTED, a().state());
+                assertEquals(observed ? List.of() : List.of("search a 1"), actions.takeActions());
+                assertEquals(observed ? InstanceState.BACKING_OFF : InstanceState.ADOPTED, a().state());
             }
         }
     }
 
     @Test
-    void adoptionOfAHolderWaitsForTheJournal() {
-        heldByTheFirst(false);
+    void delaysAdoptionOfLockHolderUntilItIsJournaled() {
+        startWithNameHeldByFirstStart(false);
         actions.takeActions();
         actions.journalFails = true;
         supervisor.searchCompleted(now, "a", 1, P1);
@@ -226,7 +229,7 @@
     }
 
     @Test
-    void aRollingRestartStopsAtAnInstanceWhoseNameIsHeld() {
+    void stopsRollingRestartAtAnInstanceWhoseNameIsHeld() {
         startReady(POLICY, "a", "b");
         supervisor.beginRollingRestart(now, List.of("a", "b"), 1);
         supervisor.processEnded(now, "a", 1, -1);
--- a/fleet/src/test/java/cacheproxy/supervise/RollingRestartsTest.java
+++ b/fleet/src/test/java/cacheproxy/supervise/RollingRestartsTest.java
@@ -9,35 +9,37 @@
 import java.util.Map;
 import org.junit.jupiter.api.Test;
 
-/** Rolling restarts: order, stops at a failure, and the death of the agent. */
+/** Rolling restarts: their order, the stop at a failure, and agent restarts. */
 class RollingRestartsTest extends SupervisorFixture {
-    private void restarted(String name, int start) {
+    private void completeRestart(String name, int start) {
         supervisor.processEnded(now, name, start - 1, 0);
         supervisor.spawned(now, name, start, P2);
         reportReady(name, start);
     }
 
     @Test
-    void instancesAreRestartedOneAfterTheOther() {
+    void restartsNextInstanceOnceAnEarlierOneIsReady() {
         startReady(POLICY, "a", "b", "c");
         assertNull(supervisor.beginRollingRestart(now, List.of("a", "b", "c", "a"), 2));
         assertNotNull(supervisor.beginRollingRestart(now, List.of("a"), 1));
         assertEquals(List.of("terminate a 11", "terminate b 12"), actions.takeActions());
-        assertEquals(Map.of("done", List.of(), "restarting", List.of("a", "b"), "left", List.of("c")), supervisor.rollingRestartProgress());
+        assertEquals(
+                Map.of("done", List.of(), "restarting", List.of("a", "b"), "left", List.of("c")),
+                supervisor.rollingRestartProgress());
         supervisor.processEnded(now, "b", 1, 0);
         supervisor.spawned(now, "b", 2, P2);
         advanceTime(100);
         assertEquals(List.of("spawn b 2"), actions.takeActions()); // not ready yet: c waits
         reportReady("b", 2);
         assertEquals(List.of("terminate c 13"), actions.takeActions());
-        restarted("a", 2);
-        restarted("c", 2);
+        completeRestart("a", 2);
+        completeRestart("c", 2);
         assertNull(supervisor.rollingRestartProgress());
         assertTrue(actions.hasLogged("rolling restart 1 is done"));
     }
 
     @Test
-    void aRollingRestartStopsAtTheFirstThatFails() {
+    void stopsAtFirstInstanceThatCrashes() {
         startReady(POLICY, "a", "b");
         supervisor.beginRollingRestart(now, List.of("a", "b"), 1);
         supervisor.processEnded(now, "a", 1, 0);
@@ -50,7 +52,7 @@
     }
 
     @Test
-    void aRollingRestartStopsAtAnInstanceThatHangs() {
+    void stopsAtAnInstanceThatHangs() {
         startReady(POLICY, "a", "b");
         supervisor.beginRollingRestart(now, List.of("a", "b"), 1);
         advanceTime(1100, () -> reportReady("b", 1));
@@ -59,23 +61,23 @@
     }
 
     @Test
-    void aRollingRestartLeavesOutStoppedAndRemovedInstances() {
+    void skipsStoppedAndRemovedInstances() {
         startReady(POLICY, "a", "b", "c", "d");
         supervisor.beginRollingRestart(now, List.of("a", "b", "c", "d"), 1);
         supervisor.setDesiredState(now, "b", false);
         declare(spec("a"), spec("b"), spec("d"));
         supervisor.processEnded(now, "b", 1, 0);
         supervisor.processEnded(now, "c", 1, 0);
-        restarted("a", 2);
+        completeRestart("a", 2);
         assertEquals(InstanceState.STOPPED, supervisor.instance("b").state());
-        restarted("d", 2);
+        completeRestart("d", 2);
         assertNull(supervisor.rollingRestartProgress());
         assertTrue(actions.hasLogged("b: left out"));
         assertTrue(actions.hasLogged("rolling restart 1 is done"));
     }
 
     @Test
-    void aRollingRestartStopsIfAnInstanceBeingRestartedIsStoppedOrRemoved() {
+    void stopsWhenAnInstanceBeingRestartedIsStopped() {
         startReady(POLICY, "a", "b");
         supervisor.beginRollingRestart(now, List.of("a", "b"), 1);
         supervisor.setDesiredState(now, "a", false);
@@ -84,11 +86,14 @@
         assertEquals(InstanceState.READY, supervisor.instance("b").state());
     }
 
-    /** The agent dies when a is taken: before it is told, after, after it is gone, and when it is started. */
+    /**
+     * The agent dies while instance a is restarted: before SIGTERM takes effect, after it, after the process has ended,
+     * after the next start, and once it is ready.
+     */
     @Test
-    void theNextAgentGoesOnWithTheRollingRestart() {
+    void resumesAfterAgentRestart() {
         InstanceSpec[] specs = {spec("a"), spec("b")};
-        for (int point = 0; point < 5; point++) {
+        for (int deathPoint = 0; deathPoint < 5; deathPoint++) {
             for (boolean compacted : new boolean[] {false, true}) {
                 actions = new RecordedActions();
                 supervisor = new Supervisor(actions);
@@ -96,59 +101,61 @@
                 startReady(POLICY, "a", "b");
                 supervisor.beginRollingRestart(now, List.of("a", "b"), 1);
                 UniqueProcessId b = supervisor.instance("b").identity();
-                if (point > 1) {
+                if (deathPoint > 1) {
                     supervisor.processEnded(now, "a", 1, 0);
                 }
-                if (point > 2) {
+                if (deathPoint > 2) {
                     supervisor.spawned(now, "a", 2, P2);
                 }
-                if (point > 3) {
+                if (deathPoint > 3) {
                     reportReady("a", 2);
                 }
                 restartAgent(compacted, specs);
                 supervisor.searchCompleted(now, "b", 1, b);
                 reportReady("b", 1);
-                if (point < 2) {
-                    supervisor.searchCompleted(now, "a", 1, point == 0 ? P1 : null); // told and gone meanwhile: no crash
+                if (deathPoint < 2) {
+                    // at point 1 it was terminated meanwhile, which is not a crash
+                    supervisor.searchCompleted(now, "a", 1, deathPoint == 0 ? P1 : null);
                     supervisor.processEnded(now, "a", 1, -1);
-                } else if (point == 2) {
+                } else if (deathPoint == 2) {
                     advanceTime(400, () -> supervisor.searchCompleted(now, "a", 2, null));
-                    advanceTime(600, () -> supervisor.searchCompleted(now, "a", 2, null)); // announced, never made
+                    // start 2 was announced, but its process never created
+                    advanceTime(600, () -> supervisor.searchCompleted(now, "a", 2, null));
                 } else {
                     supervisor.searchCompleted(now, "a", 2, P2);
                 }
-                if (point < 3) {
+                if (deathPoint < 3) {
                     int start = a().lastStart();
-                    assertEquals(InstanceState.STARTING, a().state(), "point " + point);
+                    assertEquals(InstanceState.STARTING, a().state(), "point " + deathPoint);
                     supervisor.spawned(now, "a", start, P2);
                 }
                 reportReady("a", a().lastStart());
-                String at = "point " + point + ", compacted " + compacted;
-                assertEquals(0, a().consecutiveCrashes(), at);
+                String description = "point " + deathPoint + ", compacted " + compacted;
+                assertEquals(0, a().consecutiveCrashes(), description);
                 advanceTime(100);
-                assertEquals(InstanceState.READY, a().state(), at);
+                assertEquals(InstanceState.READY, a().state(), description);
                 assertEquals(
                         Map.of("done", List.of("a"), "restarting", List.of("b"), "left", List.of()),
                         supervisor.rollingRestartProgress(),
-                        at);
+                        description);
                 supervisor.processEnded(now, "b", 1, -1);
                 supervisor.spawned(now, "b", 2, P1);
                 reportReady("b", 2);
-                assertNull(supervisor.rollingRestartProgress(), at);
-                assertTrue(actions.hasLogged("is done"), at);
+                assertNull(supervisor.rollingRestartProgress(), description);
+                assertTrue(actions.hasLogged("is done"), description);
             }
         }
     }
 
     @Test
-    void aRollingRestartTakesAnInstanceInBackoffAndTheNextAgentGoesOn() {
+    void restartsInstanceInBackoffAfterAgentRestart() {
         declare(spec("a"));
         crash(1);
         advanceTime(100);
         crash(2);
         supervisor.beginRollingRestart(now, List.of("a"), 1);
         JournalRecord last;
-        do { // died right after it was taken
+        do { // the agent died right after the record that begins the restart
             last = actions.journal.remove(actions.journal.size() - 1);
         } while (!(last instanceof JournalRecord.RollingRestartInstanceBegun));
         actions.journal.add(last);
@@ -160,7 +167,7 @@
     }
 
     @Test
-    void aRollingRestartThatStoppedWhileTheJournalFailedIsOver() {
+    void staysStoppedWhenItsEndCouldNotBeJournaledAtFirst() {
         startReady(POLICY, "a", "b");
         supervisor.beginRollingRestart(now, List.of("a", "b"), 1);
         actions.journalFails = true;
@@ -176,7 +183,7 @@
         assertTrue(supervisor.beginRollingRestart(now, List.of("b"), 1).contains("journal"));
         assertEquals(
                 1,
-                actions.logged.stream()
+                actions.loggedEvents.stream()
                         .filter(s -> s.contains("rolling restart 1 stopped"))
                         .count());
         actions.journalFails = false;
@@ -187,7 +194,7 @@
     }
 
     @Test
-    void aRollingRestartOfNoInstanceIsRejected() {
+    void rejectsInvalidRollingRestart() {
         startReady();
         assertNotNull(supervisor.beginRollingRestart(now, List.of(), 1));
         assertNotNull(supervisor.beginRollingRestart(now, List.of("a"), 0));
--- a/fleet/src/test/java/cacheproxy/supervise/SimulatedMachine.java
+++ b/fleet/src/test/java/cacheproxy/supervise/SimulatedMachine.java
@@ -13,31 +13,31 @@
 import java.util.function.Supplier;
 
 /**
- * One machine with simulated processes, an agent that dies at any point, its journal, and operators with wishes, by
- * seed. First trouble for a while, then none: the site has to come to what is declared. What must never be is asked
- * after each step; {@link Broken} tells it.
+ * Simulates one machine from a seed: its processes, an agent that may die at any point, the journal, and operators who
+ * issue commands. Faults are injected for some time; after that the site must reach its declared state. The rules that
+ * must always hold are checked after each step, and {@link RuleViolation} reports the first that does not.
  */
 final class SimulatedMachine implements SupervisorActions {
-    /** A rule that does not hold. */
-    static final class Broken extends RuntimeException {
+    /** Thrown if a rule does not hold. */
+    static final class RuleViolation extends RuntimeException {
         private static final long serialVersionUID = 1;
 
-        Broken(String what) {
+        RuleViolation(String what) {
             super(what);
         }
     }
 
-    /** The agent's end, at whatever it was about to do. */
-    private static final class Died extends RuntimeException {
+    /** Thrown where the agent dies, to abandon its current call. */
+    private static final class AgentDeath extends RuntimeException {
         private static final long serialVersionUID = 1;
 
-        Died() {
+        AgentDeath() {
             super("", null, false, false);
         }
     }
 
-    /** Kinds of trouble; each can be left out, to see what it takes. */
-    enum Trouble {
+    /** Kinds of faults and commands; each can be disabled to narrow down a failure. */
+    enum FaultKind {
         DEATH,
         DISK,
         CRASH,
@@ -51,143 +51,144 @@
         LOST,
         TWICE,
         COMPACT,
-        /** A fork that comes after all patience; one that lives and is not seen. */
+        /** A fork that completes after the agent has stopped waiting for it. */
         SLOW,
+        /** A running process that a search does not find. */
         UNSEEN
     }
 
-    private static final int LATE_MOST = 900;
-    private static final int PROBE_TIMEOUT = 300;
-    /** A probe that is lost, one more until it counts, late answers of before, and a tick. */
-    private static final int HUNG_SLACK = 3 * LATE_MOST + 2 * PROBE_TIMEOUT + 400;
+    private static final int MAX_LATENESS_MS = 900;
+    private static final int PROBE_TIMEOUT_MS = 300;
+    /** Allows for a lost probe, the next one until its timeout, late earlier answers, and ticks. */
+    private static final int HUNG_TOLERANCE_MS = 3 * MAX_LATENESS_MS + 2 * PROBE_TIMEOUT_MS + 400;
 
-    private static final int TICK = 100;
-    /** After the last trouble no answer of before comes later than this. */
-    private static final int LATEST = 3000;
-    /** Once there is no trouble any more, all is as declared within this time. */
-    static final int SETTLED_WITHIN = 45_000;
+    private static final int TICK_MS = 100;
+    /** Bound on how long earlier answers may still arrive after the last fault. */
+    private static final int LAST_ANSWER_MS = 3000;
+    /** Without faults the site must reach its declared state within this time. */
+    static final int SETTLE_TIMEOUT_MS = 45_000;
 
-    /** A process. */
-    private static final class Proc {
+    private static final class SimulatedProcess {
         String name;
         int start;
         String secret;
         UniqueProcessId identity;
-        int maker;
+        int agentIncarnation;
         boolean forked;
         boolean dead;
         int code;
-        boolean locked;
-        boolean channel;
+        boolean holdsLock;
+        boolean controlChannelOpen;
         boolean ready;
         boolean everReady;
-        boolean stopped;
-        boolean serves = true;
-        boolean ignores;
-        boolean termed;
+        boolean suspended;
+        boolean servesClients = true;
+        boolean ignoresSigterm;
+        boolean receivedSigterm;
         boolean draining;
         String digest = "";
-        /** Since when no probe of it can go well, and when this agent told it to end; -1: not so. */
-        long muteSince = -1;
-
-        long toldAt = -1;
-        /** Its fork comes so much later; the agent had to take it for gone, and has not adopted it since. */
-        long forkLate;
-
-        boolean lost;
-        boolean everLost;
-
-        boolean lives() {
+        /** Since when every probe of the process must fail; -1: probes can succeed. */
+        long unresponsiveSinceMs = -1;
+        /** When the present agent sent SIGTERM; -1: not sent. */
+        long sigtermSentMs = -1;
+        /** Additional delay before the fork completes. */
+        long forkDelayMs;
+        /** The agent had to assume that the process ended, and has not adopted it since. */
+        boolean untracked;
+        boolean everUntracked;
+
+        boolean isRunning() {
             return forked && !dead;
         }
     }
 
-    private record Due(long at, long order, Runnable what) {}
+    private record ScheduledTask(long dueMs, long order, Runnable task) {}
 
     private final Random random;
-    private final Set<Trouble> kinds;
-    private final long troubleMs;
+    private final Set<FaultKind> enabledFaults;
+    private final long faultPhaseMs;
     private final StringBuilder record;
-    private final PriorityQueue<Due> queue =
-            new PriorityQueue<>((a, b) -> a.at != b.at ? Long.compare(a.at, b.at) : Long.compare(a.order, b.order));
+    private final PriorityQueue<ScheduledTask> queue =
+            new PriorityQueue<>((a, b) ->
+                    a.dueMs != b.dueMs ? Long.compare(a.dueMs, b.dueMs) : Long.compare(a.order, b.order));
     private long order;
-    private long time;
-    private boolean calm;
+    private long timeMs;
+    private boolean faultsEnded;
 
-    private final List<Proc> procs = new ArrayList<>();
-    private final Map<String, String> files = new HashMap<>();
-    private final Set<String> bad = new HashSet<>();
+    private final List<SimulatedProcess> processes = new ArrayList<>();
+    private final Map<String, String> configurationFiles = new HashMap<>();
+    private final Set<String> invalidConfigurations = new HashSet<>();
     private final Map<String, SupervisionPolicy> policies = new HashMap<>();
-    private final Map<String, Double> weak = new HashMap<>();
+    private final Map<String, Double> crashProbability = new HashMap<>();
     private final List<String> names = new ArrayList<>();
-    private int versions;
+    private int lastVersion;
 
     private Supervisor agent;
-    private int life;
-    private long clockBase;
-    private long begunAt;
-    private boolean recalling;
-    private final Set<Proc> watched = new HashSet<>();
-    private String armed;
-    private boolean full;
-    private boolean wasFull;
+    private int incarnation;
+    private long agentClockStartMs;
+    private long agentStartedMs;
+    private boolean replaying;
+    private final Set<SimulatedProcess> observedProcesses = new HashSet<>();
+    private String armedDeathPoint;
+    private boolean diskFull;
+    private boolean diskWasFull;
 
     private List<JournalRecord> journal = new ArrayList<>();
-    /** What the journal says, as seen by the one who writes it. */
-    private final Map<String, Integer> lastIntent = new HashMap<>();
+    /** The expected state according to the journal: the last announced start by name. */
+    private final Map<String, Integer> lastAnnouncedStart = new HashMap<>();
 
-    private final Map<String, String> intentSecret = new HashMap<>();
-    /** Of each start, by name and number. */
+    private final Map<String, String> announcedSecret = new HashMap<>();
+    /** Secrets of all starts, by name and start number. */
     private final Map<String, String> secrets = new HashMap<>();
 
-    private final Map<String, JournalRecord.ProcessEnded> lastEnded = new HashMap<>();
-    private final Map<String, Integer> endCode = new HashMap<>();
-    private final Map<String, Long> endedAt = new HashMap<>();
+    private final Map<String, JournalRecord.ProcessEnded> lastEndRecord = new HashMap<>();
+    private final Map<String, Integer> lastExitCode = new HashMap<>();
+    private final Map<String, Long> lastEndMs = new HashMap<>();
     private Map<String, InstanceSpec> declared = new TreeMap<>();
-    private final Map<String, Boolean> wish = new HashMap<>();
-    private final Set<String> unsure = new HashSet<>();
-    private String asked = "";
-    private JournalRecord.RollingRestartBegun rollBegun;
-    private final Map<String, Integer> rollTaken = new LinkedHashMap<>();
-    /** Of those, restarted as this agent knows, and as it could not write down. */
-    private final Set<String> doneUnwritten = new HashSet<>();
-
-    int deaths;
-    int refusals;
+    private final Map<String, Boolean> requestedRunning = new HashMap<>();
+    private final Set<String> uncertainRequests = new HashSet<>();
+    private String commandTarget = "";
+    private JournalRecord.RollingRestartBegun rollingRestart;
+    private final Map<String, Integer> restarting = new LinkedHashMap<>();
+    /** Instances whose restart is complete but could not be written to the journal. */
+    private final Set<String> unrecordedRestarts = new HashSet<>();
+
+    int agentDeaths;
+    int lockRefusals;
     int starts;
     int steps;
-    int rollsDone;
-    int rollsStopped;
-    int givenUp;
-    int hung;
+    int rollingRestartsDone;
+    int rollingRestartsStopped;
+    int timesGivenUp;
+    int timesHung;
     int kills;
-    int held;
-    int holders;
+    int namesHeld;
+    int holdersAdopted;
 
-    SimulatedMachine(long seed, Set<Trouble> kinds, long troubleMs, boolean keep) {
+    SimulatedMachine(long seed, Set<FaultKind> enabledFaults, long faultPhaseMs, boolean keepRecord) {
         this.random = new Random(seed * 0x9E3779B97F4A7C15L + 77);
-        this.kinds = kinds;
-        this.troubleMs = troubleMs;
-        this.record = keep ? new StringBuilder() : null;
-        int many = 1 + random.nextInt(4);
-        for (int i = 0; i < many; i++) {
+        this.enabledFaults = enabledFaults;
+        this.faultPhaseMs = faultPhaseMs;
+        this.record = keepRecord ? new StringBuilder() : null;
+        int instanceCount = 1 + random.nextInt(4);
+        for (int i = 0; i < instanceCount; i++) {
             String name = "" + (char) ('a' + i);
             names.add(name);
-            long[] kill = {-1, -1, 0, 400, 2500};
+            long[] killDelaysMs = {-1, -1, 0, 400, 2500};
             policies.put(
                     name,
                     new SupervisionPolicy(
                             3000 + random.nextInt(2000),
                             1300 + random.nextInt(500),
                             800 + random.nextInt(600),
-                            kill[random.nextInt(kill.length)],
+                            killDelaysMs[random.nextInt(killDelaysMs.length)],
                             50 + random.nextInt(200),
                             300 + random.nextInt(1500),
                             2 + random.nextInt(4),
                             500 + random.nextInt(2500),
                             100 + random.nextInt(200),
                             400 + random.nextInt(4000)));
-            weak.put(name, random.nextInt(3) == 0 ? random.nextDouble() : 0.05);
+            crashProbability.put(name, random.nextInt(3) == 0 ? random.nextDouble() : 0.05);
         }
     }
 
@@ -197,317 +198,323 @@
 
     private void log(String what) {
         if (record != null) {
-            record.append(time).append(' ').append(what).append('\n');
+            record.append(timeMs).append(' ').append(what).append('\n');
         }
     }
 
-    private Broken broken(String what) {
+    private RuleViolation violation(String what) {
         log("BROKEN " + what);
-        return new Broken("at " + time + " ms: " + what);
+        return new RuleViolation("at " + timeMs + " ms: " + what);
     }
 
-    private void at(long delay, Runnable what) {
-        queue.add(new Due(time + delay, order++, what));
+    private void schedule(long delay, Runnable what) {
+        queue.add(new ScheduledTask(timeMs + delay, order++, what));
     }
 
-    private boolean trouble(Trouble kind, double chance) {
-        return random.nextDouble() < chance && !calm && kinds.contains(kind);
+    private boolean faultOccurs(FaultKind kind, double chance) {
+        return random.nextDouble() < chance && !faultsEnded && enabledFaults.contains(kind);
     }
 
-    private int late(int usual) {
-        return trouble(Trouble.LATE, 0.06) ? random.nextInt(LATE_MOST) : 1 + random.nextInt(usual);
+    private int latencyMs(int usual) {
+        return faultOccurs(FaultKind.LATE, 0.06) ? random.nextInt(MAX_LATENESS_MS) : 1 + random.nextInt(usual);
     }
 
     // ---- the run ----
 
     void run() {
-        redeclareFiles(draw());
-        beginSite();
-        at(300, this::mischief);
-        at(500, this::operator);
-        while (time < troubleMs) {
-            next();
-        }
-        calmDown();
-        long end = time + SETTLED_WITHIN;
+        writeDeclaredFiles(randomSite());
+        createSite();
+        schedule(300, this::injectFaults);
+        schedule(500, this::issueCommand);
+        while (timeMs < faultPhaseMs) {
+            runNextTask();
+        }
+        endFaults();
+        long endMs = timeMs + SETTLE_TIMEOUT_MS;
         String why = "";
-        while (time < end) {
-            next();
-            why = time < end - SETTLED_WITHIN + LATEST ? "late answers are under way" : unsettled();
+        while (timeMs < endMs) {
+            runNextTask();
+            why = timeMs < endMs - SETTLE_TIMEOUT_MS + LAST_ANSWER_MS
+                    ? "earlier answers may still arrive"
+                    : differenceFromDeclared();
             if (why.isEmpty()) {
                 break;
             }
         }
         if (!why.isEmpty()) {
-            throw broken("not as declared " + SETTLED_WITHIN + " ms after the last trouble: " + why);
+            throw violation("declared state not reached " + SETTLE_TIMEOUT_MS + " ms after the last fault: " + why);
         }
-        long stays = time + 1500;
-        while (time < stays) {
-            next();
-            why = unsettled();
+        long stableUntilMs = timeMs + 1500;
+        while (timeMs < stableUntilMs) {
+            runNextTask();
+            why = differenceFromDeclared();
             if (!why.isEmpty()) {
-                throw broken("was as declared, and is not any more: " + why);
+                throw violation("declared state was reached but not kept: " + why);
             }
         }
-        if (refusals > 0) {
-            throw broken(refusals + " starts were refused by the lock");
+        if (lockRefusals > 0) {
+            throw violation(lockRefusals + " starts found their name lock held by a known process");
         }
     }
 
-    private void next() {
-        Due due = queue.poll();
-        time = due.at;
+    private void runNextTask() {
+        ScheduledTask due = queue.poll();
+        timeMs = due.dueMs;
         steps++;
         try {
-            due.what.run();
-        } catch (Died e) {
-            died();
+            due.task.run();
+        } catch (AgentDeath e) {
+            agentDied();
         }
-        check();
+        checkRules();
     }
 
-    private void toAgent(long delay, Runnable what) {
-        int to = life;
-        at(delay, () -> {
-            if (agent != null && life == to) {
+    private void scheduleForAgent(long delay, Runnable what) {
+        int scheduledIncarnation = incarnation;
+        schedule(delay, () -> {
+            if (agent != null && incarnation == scheduledIncarnation) {
                 what.run();
             }
         });
     }
 
     private long now() {
-        return time - clockBase;
+        return timeMs - agentClockStartMs;
     }
 
     // ---- the agent ----
 
-    private void beginSite() {
-        journal.add(new JournalRecord.SiteDeclared(text(declared)));
+    private void createSite() {
+        journal.add(new JournalRecord.SiteDeclared(formatSite(declared)));
         startAgent();
     }
 
     private void startAgent() {
-        life++;
-        log("agent " + life + " starts");
-        clockBase = random.nextBoolean() ? time : time - random.nextInt(1_000_000);
-        begunAt = time;
-        watched.clear();
-        armed = null;
-        doneUnwritten.clear();
-        procs.forEach(p -> p.toldAt = -1);
-        Supervisor s = new Supervisor(this);
-        recalling = true;
+        incarnation++;
+        log("agent " + incarnation + " starts");
+        agentClockStartMs = random.nextBoolean() ? timeMs : timeMs - random.nextInt(1_000_000);
+        agentStartedMs = timeMs;
+        observedProcesses.clear();
+        armedDeathPoint = null;
+        unrecordedRestarts.clear();
+        processes.forEach(p -> p.sigtermSentMs = -1);
+        Supervisor supervisor = new Supervisor(this);
+        replaying = true;
         for (JournalRecord e : journal) {
-            s.replay(e);
+            supervisor.replay(e);
         }
-        recalling = false;
-        agent = s;
-        if (trouble(Trouble.COMPACT, 0.2)) {
+        replaying = false;
+        agent = supervisor;
+        if (faultOccurs(FaultKind.COMPACT, 0.2)) {
             compact();
         }
-        s.searchForProcesses(now());
-        s.declare(now(), List.copyOf(declared.values()));
+        supervisor.searchForProcesses(now());
+        supervisor.declare(now(), List.copyOf(declared.values()));
         if (agent != null) {
-            toAgent(random.nextInt(TICK), this::tick);
+            scheduleForAgent(random.nextInt(TICK_MS), this::tick);
         }
     }
 
     private void tick() {
-        toAgent(TICK, this::tick);
+        scheduleForAgent(TICK_MS, this::tick);
         agent.tick(now());
-        if (trouble(Trouble.COMPACT, 0.01)) {
+        if (faultOccurs(FaultKind.COMPACT, 0.01)) {
             compact();
         }
     }
 
     private void compact() {
-        if (full) {
+        if (diskFull) {
             return;
         }
         log("compacted");
-        List<JournalRecord> anew = new ArrayList<>();
-        anew.add(new JournalRecord.SiteDeclared(text(declared)));
-        anew.addAll(agent.snapshot());
-        journal = anew;
-        rollTaken.keySet().removeAll(doneUnwritten);
-        doneUnwritten.clear();
-        rollBegun = agent.rollingRestartProgress() == null ? null : rollBegun;
+        List<JournalRecord> compacted = new ArrayList<>();
+        compacted.add(new JournalRecord.SiteDeclared(formatSite(declared)));
+        compacted.addAll(agent.snapshot());
+        journal = compacted;
+        restarting.keySet().removeAll(unrecordedRestarts);
+        unrecordedRestarts.clear();
+        rollingRestart = agent.rollingRestartProgress() == null ? null : rollingRestart;
     }
 
-    private void died() {
-        log("agent " + life + " dies" + (armed == null ? "" : ", " + armed));
-        deaths++;
+    private void agentDied() {
+        log("agent " + incarnation + " dies" + (armedDeathPoint == null ? "" : ", " + armedDeathPoint));
+        agentDeaths++;
         agent = null;
-        asked = "";
-        armed = null;
-        life++;
-        for (Proc p : List.copyOf(procs)) {
+        commandTarget = "";
+        armedDeathPoint = null;
+        incarnation++;
+        for (SimulatedProcess p : List.copyOf(processes)) {
             if (!p.forked && random.nextBoolean()) {
-                procs.remove(p); // died before its fork
-            } else if (!p.forked && trouble(Trouble.SLOW, 0.5)) {
-                p.forkLate =
+                processes.remove(p); // the agent died before the fork
+            } else if (!p.forked && faultOccurs(FaultKind.SLOW, 0.5)) {
+                p.forkDelayMs =
                         3000 + random.nextInt(3 * (int) policies.get(p.name).forkMs());
-                lose(p);
+                markUntracked(p);
             }
         }
-        at(random.nextInt(3) == 0 ? 1 : random.nextInt(2500), () -> {
+        schedule(random.nextInt(3) == 0 ? 1 : random.nextInt(2500), () -> {
             if (agent == null) {
                 startAgent();
             }
         });
     }
 
-    private void lose(Proc p) {
+    private void markUntracked(SimulatedProcess p) {
         log("lost: " + p.name + " " + p.start);
-        p.lost = true;
-        p.everLost = true;
+        p.untracked = true;
+        p.everUntracked = true;
     }
 
-    /** The place of an action at which the agent may end. */
-    private void point(String where) {
-        if (armed != null && (armed.equals("any") || where.contains(armed))) {
-            armed = where;
-            throw new Died();
+    /** A point in an action at which the agent may die. */
+    private void deathPoint(String name) {
+        if (armedDeathPoint != null && (armedDeathPoint.equals("any") || name.contains(armedDeathPoint))) {
+            armedDeathPoint = name;
+            throw new AgentDeath();
         }
     }
 
     // ---- actions ----
 
     @Override
-    public boolean appendToJournal(JournalRecord entry) {
-        if (recalling) {
-            throw broken("notes while it recalls: " + entry);
-        }
-        String kind = entry.getClass().getSimpleName();
-        point("before note " + kind);
-        if (full) {
-            log("disk full: " + entry);
-            if (entry instanceof JournalRecord.DesiredStateSet w && !w.name().equals(asked)) {
-                unsure.add(w.name());
+    public boolean appendToJournal(JournalRecord journalRecord) {
+        if (replaying) {
+            throw violation("writes to the journal while replaying it: " + journalRecord);
+        }
+        String kind = journalRecord.getClass().getSimpleName();
+        deathPoint("before note " + kind);
+        if (diskFull) {
+            log("disk full: " + journalRecord);
+            if (journalRecord instanceof JournalRecord.DesiredStateSet w && !w.name().equals(commandTarget)) {
+                uncertainRequests.add(w.name());
             }
-            if (entry instanceof JournalRecord.RollingRestartInstanceDone d) {
-                doneUnwritten.add(d.name());
+            if (journalRecord instanceof JournalRecord.RollingRestartInstanceDone d) {
+                unrecordedRestarts.add(d.name());
             }
             return false;
         }
-        log("note " + entry);
-        noted(entry);
-        journal.add(entry);
-        point("after note " + kind);
+        log("note " + journalRecord);
+        checkRecord(journalRecord);
+        journal.add(journalRecord);
+        deathPoint("after note " + kind);
         return true;
     }
 
-    private void noted(JournalRecord entry) {
-        if (entry instanceof JournalRecord.DesiredStateSet w) {
+    private void checkRecord(JournalRecord journalRecord) {
+        if (journalRecord instanceof JournalRecord.DesiredStateSet w) {
             if (w.running()
                     && declared.containsKey(w.name())
-                    && !wish.getOrDefault(w.name(), true)
-                    && !asked.equals(w.name())
-                    && !unsure.contains(w.name())) {
-                throw broken(w.name() + " was stopped by an operator and is started by nobody's wish");
+                    && !requestedRunning.getOrDefault(w.name(), true)
+                    && !commandTarget.equals(w.name())
+                    && !uncertainRequests.contains(w.name())) {
+                throw violation(w.name() + " was stopped by an operator and is started without a command");
             }
-            wish.put(w.name(), w.running());
-            unsure.remove(w.name());
-            lastEnded.remove(w.name());
-        } else if (entry instanceof JournalRecord.StartAnnounced i && secrets.containsValue(i.secret())) {
-            if (!wasFull && endCode.getOrDefault(i.name(), 0) != Supervisor.NAME_HELD_EXIT_CODE
-                    || i.start() <= lastIntent.getOrDefault(i.name(), 0)) {
-                throw broken(i + " for a holder that nobody met");
+            requestedRunning.put(w.name(), w.running());
+            uncertainRequests.remove(w.name());
+            lastEndRecord.remove(w.name());
+        } else if (journalRecord instanceof JournalRecord.StartAnnounced i && secrets.containsValue(i.secret())) {
+            if (!diskWasFull && lastExitCode.getOrDefault(i.name(), 0) != Supervisor.NAME_HELD_EXIT_CODE
+                    || i.start() <= lastAnnouncedStart.getOrDefault(i.name(), 0)) {
+                throw violation(i + " adopts a lock holder although the name was not found held");
             }
-            for (Proc p : procs) {
+            for (SimulatedProcess p : processes) {
                 if (p.name.equals(i.name()) && p.secret.equals(i.secret())) {
                     p.start = i.start();
-                    p.lost = false;
-                    p.muteSince = p.muteSince < 0 ? -1 : time; // for this agent
+                    p.untracked = false;
+                    // the timeout starts anew for this agent
+                    p.unresponsiveSinceMs = p.unresponsiveSinceMs < 0 ? -1 : timeMs;
                 }
             }
-            holders++;
-            intended(i);
-        } else if (entry instanceof JournalRecord.StartAnnounced i) {
-            if (i.start() <= lastIntent.getOrDefault(i.name(), 0) && alive(i.name()) != null) {
-                throw broken("start " + i.start() + " of " + i.name() + " is one of the past");
+            holdersAdopted++;
+            applyAnnouncement(i);
+        } else if (journalRecord instanceof JournalRecord.StartAnnounced i) {
+            if (i.start() <= lastAnnouncedStart.getOrDefault(i.name(), 0) && runningProcess(i.name()) != null) {
+                throw violation("start " + i.start() + " of " + i.name() + " reuses an earlier start number");
             }
             if (!declared.containsKey(i.name())) {
-                throw broken(i.name() + " is started and is not declared");
+                throw violation(i.name() + " is started although it is not declared");
             }
-            backoffHonoured(i);
-            intended(i);
-        } else if (entry instanceof JournalRecord.ProcessEnded e) {
-            JournalRecord.ProcessEnded before = lastEnded.get(e.name());
-            if (e.failures() > (before == null ? 0 : before.failures()) + 1 && !wasFull && life == 1) {
-                throw broken(e.name() + " counts " + e.failures() + " crashes after " + before);
+            checkBackoff(i);
+            applyAnnouncement(i);
+        } else if (journalRecord instanceof JournalRecord.ProcessEnded e) {
+            JournalRecord.ProcessEnded before = lastEndRecord.get(e.name());
+            if (e.failures() > (before == null ? 0 : before.failures()) + 1 && !diskWasFull && incarnation == 1) {
+                throw violation(e.name() + " counts " + e.failures() + " crashes after " + before);
             }
-            if (e.code() == Supervisor.NAME_HELD_EXIT_CODE && before != null && !wasFull && e.failures() > before.failures()) {
-                throw broken(e.name() + " counts a held name as a crash: " + e + " after " + before);
+            if (e.code() == Supervisor.NAME_HELD_EXIT_CODE
+                    && before != null
+                    && !diskWasFull
+                    && e.failures() > before.failures()) {
+                throw violation(e.name() + " counts a held name as a crash: " + e + " after " + before);
             }
-            lastEnded.put(e.name(), e);
-            endedAt.put(e.name(), time);
-            endCode.put(e.name(), e.code());
-        } else if (entry instanceof JournalRecord.RollingRestartBegun r) {
-            rollBegun = r;
-            rollTaken.clear();
-            doneUnwritten.clear();
-        } else if (entry instanceof JournalRecord.RollingRestartInstanceBegun t) {
-            if (rollBegun == null || rollBegun.id() != t.id()) {
-                throw broken("takes " + t.name() + " for a rolling restart that is over");
+            lastEndRecord.put(e.name(), e);
+            lastEndMs.put(e.name(), timeMs);
+            lastExitCode.put(e.name(), e.code());
+        } else if (journalRecord instanceof JournalRecord.RollingRestartBegun r) {
+            rollingRestart = r;
+            restarting.clear();
+            unrecordedRestarts.clear();
+        } else if (journalRecord instanceof JournalRecord.RollingRestartInstanceBegun t) {
+            if (rollingRestart == null || rollingRestart.id() != t.id()) {
+                throw violation("restarts " + t.name() + " for a rolling restart that has ended");
             }
-            rollTaken.put(t.name(), t.start());
-            lastEnded.remove(t.name());
-            if (rollTaken.size() - doneUnwritten.size() > rollBegun.mostDown()) {
-                throw broken(rollTaken.keySet() + " are restarted at once, of " + rollBegun.mostDown());
+            restarting.put(t.name(), t.start());
+            lastEndRecord.remove(t.name());
+            if (restarting.size() - unrecordedRestarts.size() > rollingRestart.mostDown()) {
+                throw violation(restarting.keySet() + " are restarted at once, limit " + rollingRestart.mostDown());
             }
-        } else if (entry instanceof JournalRecord.RollingRestartInstanceDone d) {
-            Proc p = alive(d.name());
-            Integer before = rollTaken.remove(d.name());
-            if (before == null || lastIntent.get(d.name()) <= before || p != null && !p.everReady) {
-                throw broken(d.name() + " is said to be restarted, and is not");
+        } else if (journalRecord instanceof JournalRecord.RollingRestartInstanceDone d) {
+            SimulatedProcess p = runningProcess(d.name());
+            Integer before = restarting.remove(d.name());
+            if (before == null || lastAnnouncedStart.get(d.name()) <= before || p != null && !p.everReady) {
+                throw violation(d.name() + " is recorded as restarted but is not");
             }
-        } else if (entry instanceof JournalRecord.RollingRestartEnded r) {
+        } else if (journalRecord instanceof JournalRecord.RollingRestartEnded r) {
             if (r.why().isEmpty()) {
-                rollsDone++;
-                if (rollTaken.size() > doneUnwritten.size()) {
-                    throw broken("rolling restart is said to be done: " + rollTaken.keySet() + " are not");
+                rollingRestartsDone++;
+                if (restarting.size() > unrecordedRestarts.size()) {
+                    throw violation("rolling restart is recorded as done, but " + restarting.keySet() + " are not");
                 }
             } else {
-                rollsStopped++;
+                rollingRestartsStopped++;
             }
-            rollBegun = null;
+            rollingRestart = null;
         }
     }
 
-    private void intended(JournalRecord.StartAnnounced i) {
-        lastIntent.put(i.name(), i.start());
-        intentSecret.put(i.name(), i.secret());
+    private void applyAnnouncement(JournalRecord.StartAnnounced i) {
+        lastAnnouncedStart.put(i.name(), i.start());
+        announcedSecret.put(i.name(), i.secret());
         secrets.put(i.name() + "/" + i.start(), i.secret());
     }
 
-    private void backoffHonoured(JournalRecord.StartAnnounced i) {
-        JournalRecord.ProcessEnded e = lastEnded.get(i.name());
+    private void checkBackoff(JournalRecord.StartAnnounced i) {
+        JournalRecord.ProcessEnded e = lastEndRecord.get(i.name());
         if (e == null || e.failures() == 0) {
             return;
         }
         SupervisionPolicy p = policies.get(i.name());
         if (e.failures() >= p.giveUpAfter()) {
-            throw broken(i.name() + " is started after it was given up: " + e);
+            throw violation(i.name() + " is started after it was given up: " + e);
         }
         long wait = Math.min(p.backoffMostMs(), p.backoffMs() * (1L << (e.failures() - 1)));
-        if (e.code() != NEVER_MADE
+        if (e.code() != UNKNOWN_EXIT_CODE
                 && e.code() != Supervisor.NAME_HELD_EXIT_CODE
-                && !wasEndedOnPurpose(i.name())
-                && time - endedAt.get(i.name()) < wait) {
-            throw broken(i.name() + " is started " + (time - endedAt.get(i.name())) + " ms after crash " + e.failures()
-                    + ", not " + wait);
+                && !wasTerminated(i.name())
+                && timeMs - lastEndMs.get(i.name()) < wait) {
+            throw violation(i.name() + " is started " + (timeMs - lastEndMs.get(i.name())) + " ms after crash "
+                    + e.failures() + ", not " + wait);
         }
     }
 
-    private static final int NEVER_MADE = -1;
+    private static final int UNKNOWN_EXIT_CODE = -1;
 
-    private boolean wasEndedOnPurpose(String name) {
-        Proc last = null;
-        for (Proc p : procs) {
+    private boolean wasTerminated(String name) {
+        SimulatedProcess last = null;
+        for (SimulatedProcess p : processes) {
             last = p.name.equals(name) ? p : last;
         }
-        return last == null || last.termed;
+        return last == null || last.receivedSigterm;
     }
 
     @Override
@@ -517,76 +524,76 @@
 
     @Override
     public void spawn(String name, int start, String secret) {
-        point("before spawn");
+        deathPoint("before spawn");
         log("spawn " + name + " " + start);
-        if (lastIntent.getOrDefault(name, 0) != start || !secret.equals(intentSecret.get(name))) {
-            throw broken("spawn of " + name + " " + start + " without its intent");
+        if (lastAnnouncedStart.getOrDefault(name, 0) != start || !secret.equals(announcedSecret.get(name))) {
+            throw violation("spawn of " + name + " " + start + " without its announcement");
         }
-        for (Proc p : procs) {
-            if (p.name.equals(name) && !p.dead && !p.lost) {
-                throw broken("spawn of " + name + " " + start + " while start " + p.start + " is there");
+        for (SimulatedProcess p : processes) {
+            if (p.name.equals(name) && !p.dead && !p.untracked) {
+                throw violation("spawn of " + name + " " + start + " while start " + p.start + " exists");
             }
         }
         starts++;
-        Proc p = new Proc();
+        SimulatedProcess p = new SimulatedProcess();
         p.name = name;
         p.start = start;
         p.secret = secret;
-        p.maker = life;
-        files.put(name, declared.get(name).configuration());
-        if (trouble(Trouble.CRASH, 0.02)) {
-            toAgent(late(30), () -> agent.spawnFailed(now(), name, start, "no memory"));
+        p.agentIncarnation = incarnation;
+        configurationFiles.put(name, declared.get(name).configuration());
+        if (faultOccurs(FaultKind.CRASH, 0.02)) {
+            scheduleForAgent(latencyMs(30), () -> agent.spawnFailed(now(), name, start, "no memory"));
         } else {
-            procs.add(p);
-            long fork = trouble(Trouble.LATE, 0.2)
+            processes.add(p);
+            long fork = faultOccurs(FaultKind.LATE, 0.2)
                     ? random.nextInt((int) policies.get(name).forkMs() - 20)
                     : 1 + random.nextInt(10);
-            at(fork, () -> fork(p));
+            schedule(fork, () -> fork(p));
         }
-        point("after spawn");
+        deathPoint("after spawn");
     }
 
-    private void fork(Proc p) {
-        if (!procs.contains(p)) {
+    private void fork(SimulatedProcess p) {
+        if (!processes.contains(p)) {
             return;
         }
-        if (p.forkLate > 0) {
-            at(p.forkLate, () -> fork(p));
-            p.forkLate = 0;
+        if (p.forkDelayMs > 0) {
+            schedule(p.forkDelayMs, () -> fork(p));
+            p.forkDelayMs = 0;
             return;
         }
-        p.identity = new UniqueProcessId(pid(), time, "boot");
+        p.identity = new UniqueProcessId(pid(), timeMs, "boot");
         p.forked = true;
         log("forked " + p.name + " " + p.start + ", " + p.identity);
-        if (agent != null && life == p.maker) {
-            watched.add(p);
-            int before = life;
-            toAgent(late(20), () -> {
-                if (before == life) {
+        if (agent != null && incarnation == p.agentIncarnation) {
+            observedProcesses.add(p);
+            int before = incarnation;
+            scheduleForAgent(latencyMs(20), () -> {
+                if (before == incarnation) {
                     agent.spawned(now(), p.name, p.start, p.identity);
                 }
             });
-            if (trouble(Trouble.TWICE, 0.02)) {
-                toAgent(late(900), () -> agent.spawned(now(), p.name, p.start, p.identity));
+            if (faultOccurs(FaultKind.TWICE, 0.02)) {
+                scheduleForAgent(latencyMs(900), () -> agent.spawned(now(), p.name, p.start, p.identity));
             }
         }
-        at(5 + random.nextInt(100), () -> lock(p));
-        if (trouble(Trouble.CRASH, weak.get(p.name) / 2)) {
-            at(random.nextInt(300), () -> crash(p));
+        schedule(5 + random.nextInt(100), () -> lock(p));
+        if (faultOccurs(FaultKind.CRASH, crashProbability.get(p.name) / 2)) {
+            schedule(random.nextInt(300), () -> crash(p));
         }
-        if (trouble(Trouble.HANG, 0.02)) {
-            at(random.nextInt(900), () -> stop(p));
+        if (faultOccurs(FaultKind.HANG, 0.02)) {
+            schedule(random.nextInt(900), () -> suspend(p));
         }
-        p.ignores = trouble(Trouble.IGNORE, 0.1);
-        if (agent != null && life == p.maker) {
-            point("after fork");
+        p.ignoresSigterm = faultOccurs(FaultKind.IGNORE, 0.1);
+        if (agent != null && incarnation == p.agentIncarnation) {
+            deathPoint("after fork");
         }
     }
 
     private long pid() {
         Set<Long> used = new HashSet<>();
-        procs.stream()
-                .filter(p -> p.lives() || p.forked && p.identity.startTicks() == time)
+        processes.stream()
+                .filter(p -> p.isRunning() || p.forked && p.identity.startTicks() == timeMs)
                 .forEach(p -> used.add(p.identity.pid()));
         long pid = 1;
         while (used.contains(pid)) {
@@ -595,204 +602,205 @@
         return pid;
     }
 
-    private void lock(Proc p) {
-        if (!p.lives()) {
+    private void lock(SimulatedProcess p) {
+        if (!p.isRunning()) {
             return;
         }
-        if (p.stopped) {
-            at(50, () -> lock(p));
+        if (p.suspended) {
+            schedule(50, () -> lock(p));
             return;
         }
-        for (Proc other : procs) {
-            if (other != p && other.lives() && other.locked && other.name.equals(p.name)) {
-                if (p.everLost || other.everLost) {
-                    held++;
+        for (SimulatedProcess other : processes) {
+            if (other != p && other.isRunning() && other.holdsLock && other.name.equals(p.name)) {
+                if (p.everUntracked || other.everUntracked) {
+                    namesHeld++;
                 } else {
-                    refusals++;
+                    lockRefusals++;
                 }
                 end(p, Supervisor.NAME_HELD_EXIT_CODE);
                 return;
             }
         }
-        p.locked = true;
-        p.digest = files.get(p.name);
-        if (bad.contains(p.name + p.digest)) {
-            at(random.nextInt(100), () -> end(p, 2));
+        p.holdsLock = true;
+        p.digest = configurationFiles.get(p.name);
+        if (invalidConfigurations.contains(p.name + p.digest)) {
+            schedule(random.nextInt(100), () -> end(p, 2));
             return;
         }
-        at(random.nextInt(200), () -> p.channel = true);
-        if (!trouble(Trouble.NEVER_READY, 0.1)) {
-            at(200 + random.nextInt(random.nextInt(4) == 0 ? 2000 : 300), () -> ready(p));
+        schedule(random.nextInt(200), () -> p.controlChannelOpen = true);
+        if (!faultOccurs(FaultKind.NEVER_READY, 0.1)) {
+            schedule(200 + random.nextInt(random.nextInt(4) == 0 ? 2000 : 300), () -> becomeReady(p));
         }
     }
 
-    private void ready(Proc p) {
-        if (p.stopped) {
-            at(50, () -> ready(p));
+    private void becomeReady(SimulatedProcess p) {
+        if (p.suspended) {
+            schedule(50, () -> becomeReady(p));
             return;
         }
-        p.channel = true;
+        p.controlChannelOpen = true;
         if (p.draining) {
             return;
         }
         p.ready = true;
-        if (trouble(Trouble.CRASH, weak.get(p.name))) {
-            at(random.nextInt(4000), () -> crash(p));
+        if (faultOccurs(FaultKind.CRASH, crashProbability.get(p.name))) {
+            schedule(random.nextInt(4000), () -> crash(p));
         }
     }
 
-    private void crash(Proc p) {
-        if (!calm && p.lives()) {
+    private void crash(SimulatedProcess p) {
+        if (!faultsEnded && p.isRunning()) {
             int code = 1 + random.nextInt(5);
             end(p, code == Supervisor.NAME_HELD_EXIT_CODE ? 139 : code);
         }
     }
 
-    private void end(Proc p, int code) {
-        if (!p.lives()) {
+    private void end(SimulatedProcess p, int code) {
+        if (!p.isRunning()) {
             return;
         }
         log("ends " + p.name + " " + p.start + ", code " + code);
         p.dead = true;
         p.code = code;
-        tellGone(p);
+        reportEnd(p);
     }
 
-    private void tellGone(Proc p) {
-        if (agent != null && watched.contains(p)) {
-            int code = p.maker == life ? p.code : -1;
-            toAgent(late(100), () -> agent.processEnded(now(), p.name, p.start, code));
-            if (trouble(Trouble.TWICE, 0.1)) {
-                toAgent(late(2500), () -> agent.processEnded(now(), p.name, p.start, code));
+    private void reportEnd(SimulatedProcess p) {
+        if (agent != null && observedProcesses.contains(p)) {
+            int code = p.agentIncarnation == incarnation ? p.code : -1;
+            scheduleForAgent(latencyMs(100), () -> agent.processEnded(now(), p.name, p.start, code));
+            if (faultOccurs(FaultKind.TWICE, 0.1)) {
+                scheduleForAgent(latencyMs(2500), () -> agent.processEnded(now(), p.name, p.start, code));
             }
         }
     }
 
-    private void stop(Proc p) {
-        if (calm || !p.lives()) {
+    private void suspend(SimulatedProcess p) {
+        if (faultsEnded || !p.isRunning()) {
             return;
         }
         log("SIGSTOP " + p.name);
-        p.stopped = true;
-        mute(p);
+        p.suspended = true;
+        markUnresponsive(p);
         if (random.nextBoolean()) {
-            at(random.nextInt(6000), () -> goOn(p));
+            schedule(random.nextInt(6000), () -> resume(p));
         }
     }
 
-    private void goOn(Proc p) {
-        if (p.lives() && p.stopped) {
+    private void resume(SimulatedProcess p) {
+        if (p.isRunning() && p.suspended) {
             log("SIGCONT " + p.name);
-            p.stopped = false;
-            unmute(p);
-            if (p.termed && !p.ignores) {
+            p.suspended = false;
+            markResponsive(p);
+            if (p.receivedSigterm && !p.ignoresSigterm) {
                 drain(p);
             }
         }
     }
 
-    private void mute(Proc p) {
-        if (p.muteSince < 0 && p.everReady) {
-            p.muteSince = time;
+    private void markUnresponsive(SimulatedProcess p) {
+        if (p.unresponsiveSinceMs < 0 && p.everReady) {
+            p.unresponsiveSinceMs = timeMs;
         }
     }
 
-    private void unmute(Proc p) {
-        if (!p.stopped && p.serves) {
-            p.muteSince = -1;
+    private void markResponsive(SimulatedProcess p) {
+        if (!p.suspended && p.servesClients) {
+            p.unresponsiveSinceMs = -1;
         }
     }
 
     @Override
     public void search(String name, int start, UniqueProcessId identity, String secret) {
-        point("before search");
-        if (!wasFull && endCode.getOrDefault(name, 0) != Supervisor.NAME_HELD_EXIT_CODE) { // else also those before it
-            current(name, start, "search");
+        deathPoint("before search");
+        // otherwise earlier starts may be searched for, too
+        if (!diskWasFull && lastExitCode.getOrDefault(name, 0) != Supervisor.NAME_HELD_EXIT_CODE) {
+            requireLastStart(name, start, "search");
         }
         if (!secret.equals(secrets.get(name + "/" + start))) {
-            throw broken("searches " + name + " by another secret");
+            throw violation("searches for " + name + " with the wrong secret");
         }
-        if (trouble(Trouble.LOST, 0.05)) {
+        if (faultOccurs(FaultKind.LOST, 0.05)) {
             return;
         }
-        int look = late(30);
-        toAgent(look, () -> {
-            Proc found = null;
-            for (Proc p : procs) {
-                if (p.lives()
+        int searchDelayMs = latencyMs(30);
+        scheduleForAgent(searchDelayMs, () -> {
+            SimulatedProcess found = null;
+            for (SimulatedProcess p : processes) {
+                if (p.isRunning()
                         && (identity != null
                                 ? p.identity.equals(identity)
                                 : p.name.equals(name) && p.secret.equals(secret))) {
                     found = p;
                 }
             }
-            if (found != null && identity != null && trouble(Trouble.UNSEEN, 0.02)) {
-                lose(found);
+            if (found != null && identity != null && faultOccurs(FaultKind.UNSEEN, 0.02)) {
+                markUntracked(found);
                 found = null;
             }
-            Proc it = found;
-            toAgent(late(30), () -> {
-                if (it != null) {
-                    watched.add(it);
+            SimulatedProcess foundProcess = found;
+            scheduleForAgent(latencyMs(30), () -> {
+                if (foundProcess != null) {
+                    observedProcesses.add(foundProcess);
                 }
-                agent.searchCompleted(now(), name, start, it == null ? null : it.identity);
-                if (it != null && it.dead) {
-                    tellGone(it);
+                agent.searchCompleted(now(), name, start, foundProcess == null ? null : foundProcess.identity);
+                if (foundProcess != null && foundProcess.dead) {
+                    reportEnd(foundProcess);
                 }
             });
         });
-        point("after search");
+        deathPoint("after search");
     }
 
-    private void current(String name, int start, String what) {
-        if (lastIntent.getOrDefault(name, 0) != start) {
-            throw broken(what + " of " + name + " " + start + ": the last start is " + lastIntent.get(name));
+    private void requireLastStart(String name, int start, String what) {
+        if (lastAnnouncedStart.getOrDefault(name, 0) != start) {
+            throw violation(what + " of " + name + " " + start + ": the last start is " + lastAnnouncedStart.get(name));
         }
     }
 
-    private Proc of(String name, UniqueProcessId identity, String what) {
+    private SimulatedProcess processOf(String name, UniqueProcessId identity, String what) {
         if (identity == null) {
-            throw broken(what + " of " + name + " without a process");
+            throw violation(what + " of " + name + " without a process");
         }
-        for (Proc p : procs) {
+        for (SimulatedProcess p : processes) {
             if (p.forked && p.identity.equals(identity)) {
-                if (!p.name.equals(name) || p.start != lastIntent.get(name)) {
-                    throw broken(what + " for " + name + " meets start " + p.start + " of " + p.name);
+                if (!p.name.equals(name) || p.start != lastAnnouncedStart.get(name)) {
+                    throw violation(what + " for " + name + " hits start " + p.start + " of " + p.name);
                 }
                 return p;
             }
         }
-        throw broken(what + " of " + name + ": nobody was ever " + identity);
+        throw violation(what + " of " + name + ": no process ever had identity " + identity);
     }
 
     @Override
     public void terminate(String name, UniqueProcessId identity) {
-        point("before terminate");
+        deathPoint("before terminate");
         log("SIGTERM " + name);
-        Proc p = of(name, identity, "SIGTERM");
-        if (p.toldAt < 0) {
-            p.toldAt = time;
-        }
-        at(random.nextInt(30), () -> {
-            if (p.lives()) {
-                p.termed = true;
-                if (!p.stopped && !p.ignores) {
+        SimulatedProcess p = processOf(name, identity, "SIGTERM");
+        if (p.sigtermSentMs < 0) {
+            p.sigtermSentMs = timeMs;
+        }
+        schedule(random.nextInt(30), () -> {
+            if (p.isRunning()) {
+                p.receivedSigterm = true;
+                if (!p.suspended && !p.ignoresSigterm) {
                     drain(p);
                 }
             }
         });
-        point("after terminate");
+        deathPoint("after terminate");
     }
 
-    private void drain(Proc p) {
+    private void drain(SimulatedProcess p) {
         p.ready = false;
         p.draining = true;
-        at(10 + random.nextInt(1000), () -> endDrained(p));
+        schedule(10 + random.nextInt(1000), () -> endDrained(p));
     }
 
-    private void endDrained(Proc p) {
-        if (p.stopped) {
-            at(50, () -> endDrained(p));
+    private void endDrained(SimulatedProcess p) {
+        if (p.suspended) {
+            schedule(50, () -> endDrained(p));
         } else {
             end(p, 0);
         }
@@ -800,113 +808,114 @@
 
     @Override
     public void kill(String name, UniqueProcessId identity) {
-        point("before kill");
+        deathPoint("before kill");
         log("SIGKILL " + name);
-        Proc p = of(name, identity, "SIGKILL");
-        Instance m = agent.instance(name);
+        SimulatedProcess p = processOf(name, identity, "SIGKILL");
+        Instance instance = agent.instance(name);
         long after = policies.get(name).killAfterMs();
-        if (after < 0 || m.state() != InstanceState.HUNG || now() - m.stateSinceMs() < after) {
-            throw broken("SIGKILL for " + name + ", " + m.state() + ", its policy says " + after);
+        if (after < 0 || instance.state() != InstanceState.HUNG || now() - instance.stateSinceMs() < after) {
+            throw violation("SIGKILL for " + name + ", " + instance.state() + ", its policy says " + after);
         }
         kills++;
-        at(random.nextInt(30), () -> end(p, 137));
-        point("after kill");
+        schedule(random.nextInt(30), () -> end(p, 137));
+        deathPoint("after kill");
     }
 
     @Override
     public void probe(String name, int start) {
-        point("before probe");
-        current(name, start, "probe");
-        if (trouble(Trouble.LOST, 0.004)) {
+        deathPoint("before probe");
+        requireLastStart(name, start, "probe");
+        if (faultOccurs(FaultKind.LOST, 0.004)) {
             return;
         }
-        toAgent(late(10), () -> {
-            Proc p = alive(name);
-            if (p == null || p.start != start || !p.channel && !p.stopped) {
-                toAgent(late(10), () -> agent.probeFailed(now(), name, start, "nobody listens"));
-            } else if (p.stopped) {
-                toAgent(PROBE_TIMEOUT, () -> agent.probeFailed(now(), name, start, "no answer"));
+        scheduleForAgent(latencyMs(10), () -> {
+            SimulatedProcess p = runningProcess(name);
+            if (p == null || p.start != start || !p.controlChannelOpen && !p.suspended) {
+                scheduleForAgent(latencyMs(10), () -> agent.probeFailed(now(), name, start, "nobody listens"));
+            } else if (p.suspended) {
+                scheduleForAgent(PROBE_TIMEOUT_MS, () -> agent.probeFailed(now(), name, start, "no answer"));
             } else {
                 boolean ready = p.ready;
                 String digest = p.digest;
-                String trouble = p.serves ? "" : "mn is not answered";
-                toAgent(late(10), () -> {
+                String notServing = p.servesClients ? "" : "mn is not answered";
+                scheduleForAgent(latencyMs(10), () -> {
                     p.everReady |= ready;
-                    agent.probed(now(), name, start, ready, trouble, digest);
+                    agent.probed(now(), name, start, ready, notServing, digest);
                 });
-                if (trouble(Trouble.TWICE, 0.02)) {
-                    toAgent(late(900), () -> {
+                if (faultOccurs(FaultKind.TWICE, 0.02)) {
+                    scheduleForAgent(latencyMs(900), () -> {
                         p.everReady |= ready;
-                        agent.probed(now(), name, start, ready, trouble, digest);
+                        agent.probed(now(), name, start, ready, notServing, digest);
                     });
                 }
             }
         });
-        point("after probe");
+        deathPoint("after probe");
     }
 
     @Override
     public void reload(String name, int start) {
-        point("before reload");
-        current(name, start, "reload");
+        deathPoint("before reload");
+        requireLastStart(name, start, "reload");
         log("reload " + name);
-        files.put(name, declared.get(name) == null ? "" : declared.get(name).configuration());
-        toAgent(late(60), () -> {
-            Proc p = alive(name);
-            if (p == null || p.start != start || !p.channel || p.stopped) {
-                toAgent(500, () -> agent.reloadFailed(now(), name, start, "no answer"));
+        configurationFiles.put(name, declared.get(name) == null ? "" : declared.get(name).configuration());
+        scheduleForAgent(latencyMs(60), () -> {
+            SimulatedProcess p = runningProcess(name);
+            if (p == null || p.start != start || !p.controlChannelOpen || p.suspended) {
+                scheduleForAgent(500, () -> agent.reloadFailed(now(), name, start, "no answer"));
                 return;
             }
-            String file = files.get(name);
-            boolean taken = !bad.contains(name + file);
+            String file = configurationFiles.get(name);
+            boolean taken = !invalidConfigurations.contains(name + file);
             p.digest = taken ? file : p.digest;
             log(name + (taken ? " takes " : " refuses ") + file);
             String digest = p.digest;
-            toAgent(late(60), () -> agent.reloaded(now(), name, start, taken, taken ? "" : "line 1", digest));
+            scheduleForAgent(
+                    latencyMs(60), () -> agent.reloaded(now(), name, start, taken, taken ? "" : "line 1", digest));
         });
-        point("after reload");
+        deathPoint("after reload");
     }
 
     @Override
     public void logEvent(String name, String what) {
         log("say " + name + ": " + what);
-        givenUp += what.startsWith("given up") ? 1 : 0;
-        hung += what.startsWith("hung") ? 1 : 0;
+        timesGivenUp += what.startsWith("given up") ? 1 : 0;
+        timesHung += what.startsWith("hung") ? 1 : 0;
     }
 
-    // ---- trouble and wishes ----
+    // ---- faults and commands ----
 
-    private void mischief() {
-        if (calm) {
+    private void injectFaults() {
+        if (faultsEnded) {
             return;
         }
-        at(100 + random.nextInt(900), this::mischief);
-        Proc p = procs.isEmpty() ? null : procs.get(random.nextInt(procs.size()));
-        if (p != null && trouble(Trouble.HANG, 0.06)) {
-            stop(p);
+        schedule(100 + random.nextInt(900), this::injectFaults);
+        SimulatedProcess p = processes.isEmpty() ? null : processes.get(random.nextInt(processes.size()));
+        if (p != null && faultOccurs(FaultKind.HANG, 0.06)) {
+            suspend(p);
         }
-        if (p != null && p.lives() && trouble(Trouble.HANG, 0.06)) {
+        if (p != null && p.isRunning() && faultOccurs(FaultKind.HANG, 0.06)) {
             log("serves nobody: " + p.name);
-            p.serves = false;
-            mute(p);
+            p.servesClients = false;
+            markUnresponsive(p);
             if (random.nextBoolean()) {
-                at(random.nextInt(5000), () -> {
-                    p.serves = true;
-                    unmute(p);
+                schedule(random.nextInt(5000), () -> {
+                    p.servesClients = true;
+                    markResponsive(p);
                 });
             }
         }
-        if (p != null && trouble(Trouble.CRASH, 0.05)) {
+        if (p != null && faultOccurs(FaultKind.CRASH, 0.05)) {
             crash(p);
         }
-        if (trouble(Trouble.DISK, 0.04) && !full) {
+        if (faultOccurs(FaultKind.DISK, 0.04) && !diskFull) {
             log("disk full");
-            full = true;
-            wasFull = true;
-            at(random.nextInt(3000), () -> full = false);
+            diskFull = true;
+            diskWasFull = true;
+            schedule(random.nextInt(3000), () -> diskFull = false);
         }
-        if (agent != null && armed == null && trouble(Trouble.DEATH, 0.12)) {
-            String[] where = {
+        if (agent != null && armedDeathPoint == null && faultOccurs(FaultKind.DEATH, 0.12)) {
+            String[] deathPoints = {
                 "any",
                 "note",
                 "before note",
@@ -923,97 +932,97 @@
                 "note DesiredStateSet",
                 "kill"
             };
-            armed = where[random.nextInt(where.length)];
-            int now = life;
-            at(4000, () -> {
-                if (agent != null && life == now && !calm) {
-                    throw new Died();
+            armedDeathPoint = deathPoints[random.nextInt(deathPoints.length)];
+            int currentIncarnation = incarnation;
+            schedule(4000, () -> {
+                if (agent != null && incarnation == currentIncarnation && !faultsEnded) {
+                    throw new AgentDeath();
                 }
             });
         }
     }
 
-    private void operator() {
-        if (calm) {
+    private void issueCommand() {
+        if (faultsEnded) {
             return;
         }
-        at(100 + random.nextInt(2500), this::operator);
+        schedule(100 + random.nextInt(2500), this::issueCommand);
         if (agent == null) {
             return;
         }
         String name = names.get(random.nextInt(names.size()));
         int what = random.nextInt(10);
-        if (what < 4 && trouble(Trouble.DECLARE, 1)) {
-            Map<String, InstanceSpec> site = draw();
-            JournalRecord.SiteDeclared entry = new JournalRecord.SiteDeclared(text(site));
-            if (appendToJournal(entry)) {
+        if (what < 4 && faultOccurs(FaultKind.DECLARE, 1)) {
+            Map<String, InstanceSpec> site = randomSite();
+            JournalRecord.SiteDeclared journalRecord = new JournalRecord.SiteDeclared(formatSite(site));
+            if (appendToJournal(journalRecord)) {
                 declare(site);
                 agent.declare(now(), List.copyOf(declared.values()));
             }
-        } else if (what < 6 && trouble(Trouble.WISH, 1)) {
+        } else if (what < 6 && faultOccurs(FaultKind.WISH, 1)) {
             boolean running = random.nextInt(3) > 0;
-            wished(name, running, "want " + name + " " + running, () -> agent.setDesiredState(now(), name, running));
-        } else if (what == 6 && trouble(Trouble.WISH, 1)) {
-            wished(name, true, "restart " + name, () -> agent.restart(now(), name));
-        } else if (what == 7 && trouble(Trouble.WISH, 1)) {
+            runCommand(name, running, "want " + name + " " + running, () -> agent.setDesiredState(now(), name, running));
+        } else if (what == 6 && faultOccurs(FaultKind.WISH, 1)) {
+            runCommand(name, true, "restart " + name, () -> agent.restart(now(), name));
+        } else if (what == 7 && faultOccurs(FaultKind.WISH, 1)) {
             log("wish reload " + name + ": " + agent.reload(now(), name));
-        } else if (what > 7 && trouble(Trouble.ROLL, 1)) {
-            List<String> some = new ArrayList<>(names);
-            some.removeIf(n -> random.nextInt(5) == 0);
-            log("wish roll " + some);
-            log(agent.beginRollingRestart(now(), some, 1 + random.nextInt(2)));
+        } else if (what > 7 && faultOccurs(FaultKind.ROLL, 1)) {
+            List<String> selected = new ArrayList<>(names);
+            selected.removeIf(n -> random.nextInt(5) == 0);
+            log("wish roll " + selected);
+            log(agent.beginRollingRestart(now(), selected, 1 + random.nextInt(2)));
         }
     }
 
-    private void wished(String name, boolean running, String words, Supplier<String> call) {
-        log("wish " + words);
-        asked = name;
+    private void runCommand(String name, boolean running, String description, Supplier<String> call) {
+        log("wish " + description);
+        commandTarget = name;
         String why = call.get();
-        asked = "";
-        if (why == null && wish.getOrDefault(name, true) != running) {
-            throw broken("said to be done and not written down: " + words);
+        commandTarget = "";
+        if (why == null && requestedRunning.getOrDefault(name, true) != running) {
+            throw violation("accepted but not written to the journal: " + description);
         }
         if (why == null && !declared.containsKey(name)) {
-            throw broken("done for a name that is not declared: " + words);
+            throw violation("accepted for a name that is not declared: " + description);
         }
         log(why == null ? "done" : why);
     }
 
-    private Map<String, InstanceSpec> draw() {
+    private Map<String, InstanceSpec> randomSite() {
         Map<String, InstanceSpec> site = new TreeMap<>();
         for (String name : names) {
             InstanceSpec old = declared.get(name);
             if (random.nextInt(6) == 0) {
                 continue;
             }
-            String launch = old != null && random.nextInt(4) > 0 ? old.launch() : "L" + ++versions;
-            String configuration = old != null && random.nextBoolean() ? old.configuration() : "C" + ++versions;
+            String launch = old != null && random.nextInt(4) > 0 ? old.launch() : "L" + ++lastVersion;
+            String configuration = old != null && random.nextBoolean() ? old.configuration() : "C" + ++lastVersion;
             if (random.nextInt(12) == 0) {
-                bad.add(name + "C" + versions);
+                invalidConfigurations.add(name + "C" + lastVersion);
             }
             site.put(name, new InstanceSpec(name, launch, configuration, policies.get(name)));
         }
         return site;
     }
 
-    /** From the moment at which it is written down. */
+    /** Applies a declaration once it is in the journal. */
     private void declare(Map<String, InstanceSpec> site) {
-        log("declared " + text(site));
+        log("declared " + formatSite(site));
         for (String name : names) {
             if (!site.containsKey(name)) {
-                wish.put(name, true);
-                lastEnded.remove(name);
+                requestedRunning.put(name, true);
+                lastEndRecord.remove(name);
             }
         }
-        redeclareFiles(site);
+        writeDeclaredFiles(site);
     }
 
-    private void redeclareFiles(Map<String, InstanceSpec> site) {
+    private void writeDeclaredFiles(Map<String, InstanceSpec> site) {
         declared = site;
-        site.values().forEach(s -> files.put(s.name(), s.configuration()));
+        site.values().forEach(s -> configurationFiles.put(s.name(), s.configuration()));
     }
 
-    private static String text(Map<String, InstanceSpec> site) {
+    private static String formatSite(Map<String, InstanceSpec> site) {
         StringBuilder b = new StringBuilder();
         site.values()
                 .forEach(s -> b.append(s.name())
@@ -1025,119 +1034,123 @@
         return b.toString();
     }
 
-    private void calmDown() {
-        log("no trouble from here on");
-        calm = true;
-        full = false;
-        armed = null;
-        for (Proc p : List.copyOf(procs)) {
-            p.serves = true;
-            p.ignores = false;
-            boolean was = p.stopped;
-            goOn(p);
-            unmute(p);
-            if (p.lives() && p.termed && !p.draining && !was) {
+    private void endFaults() {
+        log("no faults from here on");
+        faultsEnded = true;
+        diskFull = false;
+        armedDeathPoint = null;
+        for (SimulatedProcess p : List.copyOf(processes)) {
+            p.servesClients = true;
+            p.ignoresSigterm = false;
+            boolean wasSuspended = p.suspended;
+            resume(p);
+            markResponsive(p);
+            if (p.isRunning() && p.receivedSigterm && !p.draining && !wasSuspended) {
                 drain(p);
             }
         }
     }
 
-    // ---- what has to hold ----
+    // ---- rules ----
 
-    private Proc alive(String name) {
-        Proc found = null;
-        for (Proc p : procs) {
-            if (p.lives() && p.name.equals(name) && (found == null || !found.locked)) {
+    private SimulatedProcess runningProcess(String name) {
+        SimulatedProcess found = null;
+        for (SimulatedProcess p : processes) {
+            if (p.isRunning() && p.name.equals(name) && (found == null || !found.holdsLock)) {
                 found = p;
             }
         }
         return found;
     }
 
-    private void check() {
-        if (procs.size() > 40) {
-            procs.removeIf(p -> p.dead && !watched.contains(p));
+    private void checkRules() {
+        if (processes.size() > 40) {
+            processes.removeIf(p -> p.dead && !observedProcesses.contains(p));
         }
-        Set<String> locked = new HashSet<>();
-        for (Proc p : procs) {
+        Set<String> lockedNames = new HashSet<>();
+        for (SimulatedProcess p : processes) {
             if (p.dead) {
                 continue;
             }
-            if (p.locked && !locked.add(p.name)) {
-                throw broken("two processes of " + p.name);
+            if (p.holdsLock && !lockedNames.add(p.name)) {
+                throw violation("two processes of " + p.name);
             }
-            if (agent == null || p.lost) {
+            if (agent == null || p.untracked) {
                 continue;
             }
-            Instance m = agent.instance(p.name);
-            if (m == null || !m.state().mayRun()) {
-                throw broken(p.name + " is " + (m == null ? "forgotten" : m.state()) + " and lives");
+            Instance instance = agent.instance(p.name);
+            if (instance == null || !instance.state().mayRun()) {
+                throw violation(
+                        p.name + " is " + (instance == null ? "dropped" : instance.state()) + " but its process runs");
             }
             if (!p.forked) {
                 continue;
             }
-            // of one that is not declared any more an agent that did not see it declared knows no policy
+            // an agent started after the removal of an instance does not know its policy
             SupervisionPolicy policy = declared.containsKey(p.name) ? policies.get(p.name) : SupervisionPolicy.USUAL;
-            if (p.muteSince >= 0
+            if (p.unresponsiveSinceMs >= 0
                     && !p.draining
-                    && !m.searching // a search that is lost takes its time
-                    && m.state() != InstanceState.HUNG
-                    && m.state() != InstanceState.STOPPING
-                    && time - Math.max(p.muteSince, begunAt) > policy.hungAfterMs() * 2 + HUNG_SLACK) {
-                throw broken(p.name + " is " + m.state() + ", mute since " + p.muteSince);
+                    && !instance.searching // a lost search is repeated only after a delay
+                    && instance.state() != InstanceState.HUNG
+                    && instance.state() != InstanceState.STOPPING
+                    && timeMs - Math.max(p.unresponsiveSinceMs, agentStartedMs)
+                            > policy.hungAfterMs() * 2 + HUNG_TOLERANCE_MS) {
+                throw violation(p.name + " is " + instance.state() + ", unresponsive since " + p.unresponsiveSinceMs);
             }
-            if (p.toldAt >= 0
-                    && m.state() != InstanceState.HUNG
-                    && time - p.toldAt > policy.stopWithinMs() + 2 * TICK) {
-                throw broken(p.name + " is " + m.state() + ", told to end at " + p.toldAt);
+            if (p.sigtermSentMs >= 0
+                    && instance.state() != InstanceState.HUNG
+                    && timeMs - p.sigtermSentMs > policy.stopWithinMs() + 2 * TICK_MS) {
+                throw violation(p.name + " is " + instance.state() + ", SIGTERM was sent at " + p.sigtermSentMs);
             }
         }
     }
 
-    /** What is not yet as declared; empty: all is. */
-    private String unsettled() {
+    /** How the site differs from its declared state; empty if it does not. */
+    private String differenceFromDeclared() {
         if (agent == null) {
             return "no agent";
         }
         if (agent.rollingRestartProgress() != null) {
             return "rolling restart: " + agent.rollingRestartProgress();
         }
-        for (Instance m : agent.instances()) {
-            if (!declared.containsKey(m.name)) {
-                return m.name + " is not declared and is " + m.state();
+        for (Instance instance : agent.instances()) {
+            if (!declared.containsKey(instance.name)) {
+                return instance.name + " is not declared but is " + instance.state();
             }
         }
         for (String name : names) {
-            Proc p = alive(name);
-            Instance m = agent.instance(name);
+            SimulatedProcess p = runningProcess(name);
+            Instance instance = agent.instance(name);
             InstanceSpec spec = declared.get(name);
             if (spec == null) {
-                if (p != null && !p.lost) {
-                    return name + " lives and is not declared";
+                if (p != null && !p.untracked) {
+                    return name + " runs but is not declared";
                 }
                 continue;
             }
-            if (m == null) {
-                return name + " is declared and not there";
+            if (instance == null) {
+                return name + " is declared but unknown";
             }
-            boolean running = unsure.contains(name) ? m.wanted() : wish.getOrDefault(name, true);
-            if (m.wanted() != running) {
-                return name + " wanted running: " + m.wanted() + ", wished: " + running;
+            boolean running =
+                    uncertainRequests.contains(name) ? instance.wanted() : requestedRunning.getOrDefault(name, true);
+            if (instance.wanted() != running) {
+                return name + " wanted running: " + instance.wanted() + ", requested: " + running;
             }
             if (!running) {
-                if (p != null && !p.lost || m.state() != InstanceState.STOPPED && m.state() != InstanceState.DECLARED) {
-                    return name + " is to be stopped and is " + m.state();
+                if (p != null && !p.untracked
+                        || instance.state() != InstanceState.STOPPED && instance.state() != InstanceState.DECLARED) {
+                    return name + " should be stopped but is " + instance.state();
                 }
-            } else if (m.state() == InstanceState.GIVEN_UP) {
-                if (p != null && !p.lost
-                        || m.consecutiveCrashes() < policies.get(name).giveUpAfter()) {
-                    return name + " is given up after " + m.consecutiveCrashes();
+            } else if (instance.state() == InstanceState.GIVEN_UP) {
+                if (p != null && !p.untracked
+                        || instance.consecutiveCrashes() < policies.get(name).giveUpAfter()) {
+                    return name + " is given up after " + instance.consecutiveCrashes();
                 }
-            } else if (m.state() != InstanceState.READY || p == null || !p.ready) {
-                return name + " is " + m.state() + " " + m.fault();
+            } else if (instance.state() != InstanceState.READY || p == null || !p.ready) {
+                return name + " is " + instance.state() + " " + instance.fault();
             } else if (!p.digest.equals(spec.configuration())
-                    && m.refusalReason().isEmpty()) {
-                return name + " has " + p.digest + " and not " + spec.configuration();
+                    && instance.refusalReason().isEmpty()) {
+                return name + " has " + p.digest + " instead of " + spec.configuration();
             }
         }
         return "";
--- a/fleet/src/test/java/cacheproxy/supervise/SupervisorFixture.java
+++ b/fleet/src/test/java/cacheproxy/supervise/SupervisorFixture.java
@@ -6,33 +6,33 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** A supervisor whose actions are recorded, with shorthands for the events of an instance named a. */
+/** A supervisor with recorded actions, and shorthands for events, most of them of an instance named a. */
 abstract class SupervisorFixture {
-    /** Ready within 3000, stopped within 1000, hung after 800, back-off 100 to 500, given up after 4. */
+    /** In ms: ready within 3000, stopped within 1000, hung after 800, backoff 100 to 500; given up after 4 crashes. */
     static final SupervisionPolicy POLICY = new SupervisionPolicy(3000, 1000, 800, -1, 100, 500, 4, 2000, 200, 400);
 
     static final UniqueProcessId P1 = new UniqueProcessId(11, 100, "boot");
     static final UniqueProcessId P2 = new UniqueProcessId(12, 200, "boot");
 
-    /** Records what the supervisor asks for. */
+    /** Records the actions that the supervisor requests. */
     static final class RecordedActions implements SupervisorActions {
         final List<JournalRecord> journal = new ArrayList<>();
-        final List<String> done = new ArrayList<>();
-        final List<String> logged = new ArrayList<>();
+        final List<String> requestedActions = new ArrayList<>();
+        final List<String> loggedEvents = new ArrayList<>();
         boolean journalFails;
-        int secrets;
+        int secretCount;
 
         @Override
-        public boolean appendToJournal(JournalRecord entry) {
+        public boolean appendToJournal(JournalRecord journalRecord) {
             if (!journalFails) {
-                journal.add(entry);
+                journal.add(journalRecord);
             }
             return !journalFails;
         }
 
         @Override
         public String secret() {
-            return "s" + ++secrets;
+            return "s" + ++secretCount;
         }
 
         @Override
@@ -43,49 +43,49 @@
                             && i.start() == start
                             && i.secret().equals(secret),
                     "" + last);
-            done.add("spawn " + name + " " + start);
+            requestedActions.add("spawn " + name + " " + start);
         }
 
         @Override
         public void search(String name, int start, UniqueProcessId identity, String secret) {
-            done.add("search " + name + " " + start + (identity == null ? "" : " " + identity.pid()));
+            requestedActions.add("search " + name + " " + start + (identity == null ? "" : " " + identity.pid()));
         }
 
         @Override
         public void terminate(String name, UniqueProcessId identity) {
-            done.add("terminate " + name + " " + identity.pid());
+            requestedActions.add("terminate " + name + " " + identity.pid());
         }
 
         @Override
         public void kill(String name, UniqueProcessId identity) {
-            done.add("kill " + name + " " + identity.pid());
+            requestedActions.add("kill " + name + " " + identity.pid());
         }
 
         @Override
         public void probe(String name, int start) {
-            done.add("probe " + name + " " + start);
+            requestedActions.add("probe " + name + " " + start);
         }
 
         @Override
         public void reload(String name, int start) {
-            done.add("reload " + name + " " + start);
+            requestedActions.add("reload " + name + " " + start);
         }
 
         @Override
         public void logEvent(String name, String what) {
-            logged.add(name + ": " + what);
+            loggedEvents.add(name + ": " + what);
         }
 
-        /** What was done since, probes left out. */
+        /** Returns and clears the requested actions, without health checks. */
         List<String> takeActions() {
-            List<String> news = new ArrayList<>(done);
-            news.removeIf(s -> s.startsWith("probe"));
-            done.clear();
-            return news;
+            List<String> recorded = new ArrayList<>(requestedActions);
+            recorded.removeIf(s -> s.startsWith("probe"));
+            requestedActions.clear();
+            return recorded;
         }
 
-        boolean hasLogged(String part) {
-            return logged.stream().anyMatch(s -> s.contains(part));
+        boolean hasLogged(String text) {
+            return loggedEvents.stream().anyMatch(s -> s.contains(text));
         }
     }
 
@@ -101,8 +101,8 @@
         return spec(name, "L1", "C1", POLICY);
     }
 
-    static SupervisionPolicy policyWithKillAfter(long after) {
-        return new SupervisionPolicy(3000, 1000, 800, after, 100, 500, 4, 2000, 200, 400);
+    static SupervisionPolicy policyWithKillAfter(long killAfterMs) {
+        return new SupervisionPolicy(3000, 1000, 800, killAfterMs, 100, 500, 4, 2000, 200, 400);
     }
 
     Instance a() {
@@ -113,17 +113,17 @@
         supervisor.declare(now, List.of(specs));
     }
 
-    /** Time goes on in ticks; whoever is asked answers so. */
-    void advanceTime(long ms, Runnable answers) {
-        for (long end = now + ms; now < end; ) {
+    /** Advances time in ticks of 100 ms and runs {@code onTick} before each. */
+    void advanceTime(long durationMs, Runnable onTick) {
+        for (long endMs = now + durationMs; now < endMs; ) {
             now += 100;
-            answers.run();
+            onTick.run();
             supervisor.tick(now);
         }
     }
 
-    void advanceTime(long ms) {
-        advanceTime(ms, () -> {});
+    void advanceTime(long durationMs) {
+        advanceTime(durationMs, () -> {});
     }
 
     void failHealthCheck(String name, int start) {
@@ -134,7 +134,7 @@
         supervisor.probed(now, name, start, true, "", "C1");
     }
 
-    /** a and perhaps others, started once and ready. */
+    /** Declares these instances and makes each ready after its first start. */
     void startReady(SupervisionPolicy policy, String... names) {
         InstanceSpec[] specs = new InstanceSpec[names.length];
         for (int i = 0; i < names.length; i++) {
@@ -154,7 +154,7 @@
         startReady(POLICY, "a");
     }
 
-    /** The agent dies; the next one's clock begins anew. */
+    /** Replaces the agent by one that replays the journal or a snapshot; its clock starts at 0. */
     void restartAgent(boolean compacted, InstanceSpec... specs) {
         List<JournalRecord> journal = compacted ? supervisor.snapshot() : actions.journal;
         actions = new RecordedActions();
--- a/fleet/src/test/java/cacheproxy/supervise/SupervisorScheduleTest.java
+++ b/fleet/src/test/java/cacheproxy/supervise/SupervisorScheduleTest.java
@@ -18,98 +18,99 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /**
- * The core over seeded schedules of crashes, late answers, agent deaths and wishes.
- * {@code -Dsupervise.schedules=100000} runs more of them, {@code -Dsupervise.from=N} others; {@code -Dsupervise.seed=N}
- * (or as a failure prints it: {@code N,ms,kinds}) plays one again and prints what happened.
+ * Runs the supervisor through seeded schedules of crashes, late answers, agent deaths and operator commands.
+ * {@code -Dsupervise.schedules=100000} runs more schedules, {@code -Dsupervise.from=N} sets the first seed.
+ * {@code -Dsupervise.seed=N}, or {@code N,ms,kinds} as printed by a failure, repeats one schedule and prints its
+ * events.
  */
 class SupervisorScheduleTest {
-    private static final int USUAL = 3000;
-    private static final long TROUBLE_MS = 25_000;
+    private static final int DEFAULT_SCHEDULES = 3000;
+    private static final long FAULT_PHASE_MS = 25_000;
 
-    /** What is needed to play one again. */
-    private record Plan(long seed, long ms, Set<SimulatedMachine.Trouble> kinds) {
+    /** The parameters that reproduce a schedule. */
+    private record Plan(long seed, long faultPhaseMs, Set<SimulatedMachine.FaultKind> kinds) {
         static Plan of(long seed) {
-            return new Plan(seed, TROUBLE_MS, EnumSet.allOf(SimulatedMachine.Trouble.class));
+            return new Plan(seed, FAULT_PHASE_MS, EnumSet.allOf(SimulatedMachine.FaultKind.class));
         }
 
         static Plan parse(String text) {
             String[] parts = text.split(",");
-            Plan all = of(Long.parseLong(parts[0]));
+            Plan defaults = of(Long.parseLong(parts[0]));
             if (parts.length < 3) {
-                return all;
+                return defaults;
             }
-            Set<SimulatedMachine.Trouble> kinds = EnumSet.noneOf(SimulatedMachine.Trouble.class);
+            Set<SimulatedMachine.FaultKind> kinds = EnumSet.noneOf(SimulatedMachine.FaultKind.class);
             for (String kind : parts[2].split("\\+")) {
                 if (!kind.isEmpty()) {
-                    kinds.add(SimulatedMachine.Trouble.valueOf(kind));
+                    kinds.add(SimulatedMachine.FaultKind.valueOf(kind));
                 }
             }
-            return new Plan(all.seed, Long.parseLong(parts[1]), kinds);
+            return new Plan(defaults.seed, Long.parseLong(parts[1]), kinds);
         }
 
-        SimulatedMachine world(boolean keep) {
-            return new SimulatedMachine(seed, kinds, ms, keep);
+        SimulatedMachine machine(boolean keepRecord) {
+            return new SimulatedMachine(seed, kinds, faultPhaseMs, keepRecord);
         }
 
-        /** Null: all holds. */
-        String broken() {
+        /** Runs the schedule. Returns the rule violation; null if there is none. */
+        String violation() {
             try {
-                world(false).run();
+                machine(false).run();
                 return null;
             } catch (RuntimeException e) {
                 return e.toString();
             }
         }
 
-        /** Fewer kinds of trouble and less time, while it still fails. */
-        Plan shrunk() {
-            Plan least = this;
-            for (SimulatedMachine.Trouble kind : SimulatedMachine.Trouble.values()) {
-                Set<SimulatedMachine.Trouble> fewer = EnumSet.copyOf(least.kinds);
-                fewer.remove(kind);
-                Plan plan = new Plan(seed, least.ms, fewer);
-                least = plan.broken() != null ? plan : least;
+        /** Reduces the kinds of faults and the duration as far as the schedule still fails. */
+        Plan shrink() {
+            Plan smallest = this;
+            for (SimulatedMachine.FaultKind kind : SimulatedMachine.FaultKind.values()) {
+                Set<SimulatedMachine.FaultKind> fewerKinds = EnumSet.copyOf(smallest.kinds);
+                fewerKinds.remove(kind);
+                Plan plan = new Plan(seed, smallest.faultPhaseMs, fewerKinds);
+                smallest = plan.violation() != null ? plan : smallest;
             }
-            for (long less = 500; less < least.ms; less += 500) {
-                Plan plan = new Plan(seed, less, least.kinds);
-                if (plan.broken() != null) {
+            for (long shorterMs = 500; shorterMs < smallest.faultPhaseMs; shorterMs += 500) {
+                Plan plan = new Plan(seed, shorterMs, smallest.kinds);
+                if (plan.violation() != null) {
                     return plan;
                 }
             }
-            return least;
+            return smallest;
         }
 
         @Override
         public String toString() {
-            return seed + "," + ms + ","
+            return seed + "," + faultPhaseMs + ","
                     + String.join("+", kinds.stream().map(Enum::name).toList());
         }
     }
 
     /**
-     * Danger: a start of a name that is not declared any more, looked for only as long as the usual policy says, is
-     * told as never made while its process is still to come.
+     * Guards against a start being reported as never created while its process is still to appear: its instance is no
+     * longer declared, and the search would end after the fork time of the default policy.
      */
     @ParameterizedTest
     @ValueSource(longs = {109_306, 122_735, 126_268})
-    void aStartIsLookedForAsLongAsItsOwnPolicySaid(long seed) {
-        assertNull(Plan.of(seed).broken());
+    void searchesAsLongAsThePolicyOfTheStartSays(long seed) {
+        assertNull(Plan.of(seed).violation());
     }
 
     @Test
-    void holdsWhateverHappens() {
-        String one = System.getProperty("supervise.seed");
-        if (one != null) {
-            SimulatedMachine world = Plan.parse(one).world(true);
+    void keepsAllRulesUnderRandomFaults() {
+        String singlePlan = System.getProperty("supervise.seed");
+        if (singlePlan != null) {
+            SimulatedMachine machine = Plan.parse(singlePlan).machine(true);
             try {
-                world.run();
+                machine.run();
             } finally {
-                System.out.println(world.record());
+                System.out.println(machine.record());
             }
             return;
         }
         long from = Long.getLong("supervise.from", 1);
-        long count = Long.getLong("supervise.schedules", USUAL);
+        long count = Long.getLong("supervise.schedules", DEFAULT_SCHEDULES);
         long start = System.nanoTime();
         ConcurrentSkipListMap<Long, String> failed = new ConcurrentSkipListMap<>();
         LongAdder[] sums = new LongAdder[11];
@@ -117,46 +118,47 @@
             sums[i] = new LongAdder();
         }
         LongStream.range(from, from + count).parallel().forEach(seed -> {
-            SimulatedMachine w = Plan.of(seed).world(false);
+            SimulatedMachine simulation = Plan.of(seed).machine(false);
             try {
-                w.run();
+                simulation.run();
             } catch (RuntimeException e) {
                 failed.put(seed, e.toString());
             }
-            int[] seen = {
-                w.steps,
-                w.starts,
-                w.deaths,
-                w.refusals,
-                w.rollsDone,
-                w.rollsStopped,
-                w.givenUp,
-                w.hung,
-                w.kills,
-                w.held,
-                w.holders
+            int[] counts = {
+                simulation.steps,
+                simulation.starts,
+                simulation.agentDeaths,
+                simulation.lockRefusals,
+                simulation.rollingRestartsDone,
+                simulation.rollingRestartsStopped,
+                simulation.timesGivenUp,
+                simulation.timesHung,
+                simulation.kills,
+                simulation.namesHeld,
+                simulation.holdersAdopted
             };
-            for (int i = 0; i < seen.length; i++) {
-                sums[i].add(seen[i]);
+            for (int i = 0; i < counts.length; i++) {
+                sums[i].add(counts[i]);
             }
         });
-        double took = (System.nanoTime() - start) / 1e9;
-        System.out.printf("%d schedules in %.1f s (%.0f/s): ", count, took, count / took);
+        double elapsedS = (System.nanoTime() - start) / 1e9;
+        System.out.printf("%d schedules in %.1f s (%.0f/s): ", count, elapsedS, count / elapsedS);
         System.out.printf(
                 "%s steps, %s starts, %s agent deaths, %s refused by the lock, rolls done %s, "
                         + "stopped %s; given up %s, hung %s, killed %s; held %s, "
                         + "holders adopted %s%n",
                 (Object[]) sums);
         if (!failed.isEmpty()) {
-            Map<String, Long> kinds = new TreeMap<>(); // the first seed of each, numbers and names left out
-            failed.forEach((seed, what) -> kinds.putIfAbsent(what.replaceAll("[0-9]+|\\b[a-d]\\b", "_"), seed));
-            kinds.forEach((what, seed) -> System.out.println("seed " + seed + ": " + what));
-            Plan least = Plan.of(failed.firstKey()).shrunk();
+            Map<String, Long> kinds = new TreeMap<>(); // the first seed of each violation, ignoring numbers and names
+            failed.forEach(
+                    (seed, violation) -> kinds.putIfAbsent(violation.replaceAll("[0-9]+|\\b[a-d]\\b", "_"), seed));
+            kinds.forEach((violation, seed) -> System.out.println("seed " + seed + ": " + violation));
+            Plan smallest = Plan.of(failed.firstKey()).shrink();
             fail(failed.size() + " of " + count + " schedules failed, seeds "
-                    + failed.keySet().stream().limit(20).toList() + "; -Dsupervise.seed=" + least + ": "
-                    + least.broken());
+                    + failed.keySet().stream().limit(20).toList() + "; -Dsupervise.seed=" + smallest + ": "
+                    + smallest.violation());
         }
-        if (count >= USUAL) { // no schedule is worth anything that never meets these
+        if (count >= DEFAULT_SCHEDULES) { // the schedules prove nothing unless these events occur often
             for (int i : new int[] {2, 4, 5, 6, 7, 8, 9, 10}) {
                 assertTrue(sums[i].sum() > 100, "too rare: " + i + " of " + List.of(sums));
             }
--- a/fleet/src/test/java/cacheproxy/supervise/SupervisorStatesTest.java
+++ b/fleet/src/test/java/cacheproxy/supervise/SupervisorStatesTest.java
@@ -7,18 +7,19 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** Each row of the table of states in docs/design/instances.md. */
+/** The state transitions of an instance, as listed in the table in docs/design/instances.md. */
 class SupervisorStatesTest extends SupervisorFixture {
     @Test
-    void aDeclaredInstanceIsStartedOnceItsStartIsInTheJournal() {
+    void startsDeclaredInstanceOnceItsStartIsJournaled() {
         declare(spec("a"));
-        assertEquals(List.of("spawn a 1"), actions.takeActions()); // the intent before it: RecordedActions.spawn
+        // RecordedActions.spawn checks that the announcement is in the journal
+        assertEquals(List.of("spawn a 1"), actions.takeActions());
         assertEquals(InstanceState.STARTING, a().state());
         assertTrue(a().state().mayRun());
     }
 
     @Test
-    void nothingIsStartedWhileTheJournalCannotBeWritten() {
+    void startsNothingWhileTheJournalCannotBeWritten() {
         actions.journalFails = true;
         declare(spec("a"));
         advanceTime(2000);
@@ -31,7 +32,7 @@
     }
 
     @Test
-    void readyNeedsTheControlChannelAndAClientGreeting() {
+    void marksReadyOnlyIfControlChannelAndClientConnectionAreServed() {
         declare(spec("a"));
         supervisor.spawned(now, "a", 1, P1);
         supervisor.probed(now, "a", 1, false, "", "C1");
@@ -44,7 +45,7 @@
     }
 
     @Test
-    void anInstanceNotReadyInTimeIsTerminatedAndCountsAsCrashed() {
+    void terminatesInstanceNotReadyInTimeAndCountsACrash() {
         declare(spec("a"));
         supervisor.spawned(now, "a", 1, P1);
         actions.takeActions();
@@ -60,27 +61,27 @@
     }
 
     @Test
-    void aFailedProbeMakesUnreadyAndLongSilenceMakesHung() {
+    void marksUnreadyAfterFailedHealthCheckAndHungAfterTimeout() {
         startReady();
         advanceTime(200);
         supervisor.probeFailed(now, "a", 1, "no answer");
         assertEquals(InstanceState.UNREADY, a().state());
         advanceTime(600, () -> failHealthCheck("a", 1));
-        assertEquals(InstanceState.UNREADY, a().state()); // 800 since it answered
+        assertEquals(InstanceState.UNREADY, a().state()); // 800 ms since the last answer
         advanceTime(100, () -> failHealthCheck("a", 1));
         assertEquals(InstanceState.HUNG, a().state());
         assertTrue(a().state().mayRun());
         assertTrue(actions.hasLogged("hung: no answer"));
         advanceTime(60_000, () -> failHealthCheck("a", 1));
         assertEquals(InstanceState.HUNG, a().state());
-        assertEquals(List.of(), actions.takeActions()); // no policy says SIGKILL
+        assertEquals(List.of(), actions.takeActions()); // the policy does not allow SIGKILL
         reportReady("a", 1);
         assertEquals(InstanceState.READY, a().state());
         assertEquals("", a().fault());
     }
 
     @Test
-    void anUnreadyInstanceThatAnswersIsReadyAgain() {
+    void marksUnreadyInstanceReadyOnceItAnswers() {
         startReady();
         failHealthCheck("a", 1);
         reportReady("a", 1);
@@ -88,18 +89,18 @@
     }
 
     @Test
-    void aReadyInstanceThatReportsNotReadyIsUnready() {
+    void marksReadyInstanceUnreadyWhenItReportsNotReady() {
         startReady();
         supervisor.probed(now, "a", 1, false, "", "C1");
         assertEquals(InstanceState.UNREADY, a().state());
         advanceTime(5000, () -> supervisor.probed(now, "a", 1, false, "", "C1"));
-        assertEquals(InstanceState.UNREADY, a().state()); // it answers: not hung
+        assertEquals(InstanceState.UNREADY, a().state()); // it answers, so it is not hung
         reportReady("a", 1);
         assertEquals(InstanceState.READY, a().state());
     }
 
     @Test
-    void anInstanceThatAnswersItsChannelAndServesNoClientIsHung() {
+    void marksInstanceHungThatServesNoClient() {
         startReady();
         advanceTime(900, () -> supervisor.probed(now, "a", 1, true, "mn not answered", "C1"));
         assertEquals(InstanceState.HUNG, a().state());
@@ -107,7 +108,7 @@
     }
 
     @Test
-    void anAdoptedInstanceThatDoesNotAnswerIsHung() {
+    void marksAdoptedInstanceHungThatDoesNotAnswer() {
         startReady();
         restartAgent(false, spec("a"));
         supervisor.searchCompleted(now, "a", 1, P1);
@@ -118,20 +119,20 @@
     }
 
     @Test
-    void anAdoptedInstanceIsNotHungAtOnceWhateverTheClockSays() {
+    void doesNotMarkAdoptedInstanceHungAtAnyInitialClockValue() {
         startReady();
-        RecordedActions next = new RecordedActions();
-        Supervisor s = new Supervisor(next);
-        actions.journal.forEach(s::replay);
-        s.searchForProcesses(5_000_000);
-        s.declare(5_000_000, List.of(spec("a")));
-        s.searchCompleted(5_000_010, "a", 1, P1);
-        s.tick(5_000_500);
-        assertEquals(InstanceState.ADOPTED, s.instance("a").state());
+        RecordedActions nextActions = new RecordedActions();
+        Supervisor nextSupervisor = new Supervisor(nextActions);
+        actions.journal.forEach(nextSupervisor::replay);
+        nextSupervisor.searchForProcesses(5_000_000);
+        nextSupervisor.declare(5_000_000, List.of(spec("a")));
+        nextSupervisor.searchCompleted(5_000_010, "a", 1, P1);
+        nextSupervisor.tick(5_000_500);
+        assertEquals(InstanceState.ADOPTED, nextSupervisor.instance("a").state());
     }
 
     @Test
-    void anInstanceThatIgnoresSigtermIsHungEvenIfItAnswers() {
+    void marksInstanceHungThatIgnoresSigtermEvenIfItAnswers() {
         startReady();
         assertNull(supervisor.setDesiredState(now, "a", false));
         assertEquals(List.of("terminate a 11"), actions.takeActions());
@@ -140,16 +141,16 @@
         advanceTime(100, () -> reportReady("a", 1));
         assertEquals(InstanceState.HUNG, a().state());
         assertTrue(actions.hasLogged("hung: does not end"));
-        int logged = actions.logged.size();
+        int loggedCount = actions.loggedEvents.size();
         advanceTime(5000, () -> reportReady("a", 1));
         assertEquals(InstanceState.HUNG, a().state());
-        assertEquals(logged, actions.logged.size()); // told once
+        assertEquals(loggedCount, actions.loggedEvents.size()); // reported only once
         supervisor.processEnded(now, "a", 1, 0);
         assertEquals(InstanceState.STOPPED, a().state());
     }
 
     @Test
-    void aHungInstanceThatAnswersWithinItsStopTimeIsStoppingAgain() {
+    void returnsHungInstanceToStoppingIfItAnswersWithinItsStopTime() {
         startReady();
         advanceTime(900, () -> failHealthCheck("a", 1));
         supervisor.setDesiredState(now, "a", false);
@@ -163,7 +164,7 @@
     }
 
     @Test
-    void sigkillIsSentOnceAndOnlyIfThePolicySaysSo() {
+    void sendsSigkillOnceAndOnlyIfThePolicyAllows() {
         startReady(policyWithKillAfter(500), "a");
         advanceTime(900, () -> failHealthCheck("a", 1));
         assertEquals(InstanceState.HUNG, a().state());
@@ -177,7 +178,7 @@
     }
 
     @Test
-    void sigkillIsSentToAnInstanceThatIgnoresSigtermAndAnswers() {
+    void sendsSigkillToInstanceThatIgnoresSigtermAndAnswers() {
         startReady(policyWithKillAfter(500), "a");
         supervisor.setDesiredState(now, "a", false);
         actions.takeActions();
@@ -186,11 +187,11 @@
     }
 
     @Test
-    void theNextProcessMayBeKilledAsWell() {
+    void sendsSigkillToLaterProcessesAsWell() {
         startReady(policyWithKillAfter(0), "a");
         for (int start = 1; start < 3; start++) {
-            int it = start;
-            advanceTime(1500, () -> failHealthCheck("a", it));
+            int currentStart = start;
+            advanceTime(1500, () -> failHealthCheck("a", currentStart));
             assertEquals(List.of("kill a 11"), actions.takeActions());
             supervisor.processEnded(now, "a", start, 137);
             advanceTime(600);
@@ -201,7 +202,7 @@
     }
 
     @Test
-    void anEndedProcessIsStoppedIfThatWasWantedElseCrashed() {
+    void marksEndedProcessStoppedIfRequestedAndCrashedOtherwise() {
         startReady(POLICY, "a", "b");
         supervisor.setDesiredState(now, "a", false);
         supervisor.processEnded(now, "a", 1, 0);
@@ -217,17 +218,17 @@
     }
 
     @Test
-    void backoffDoublesUpToItsBoundUntilTheInstanceIsGivenUp() {
-        SupervisionPolicy p = new SupervisionPolicy(3000, 1000, 800, -1, 100, 500, 6, 2000, 200, 400);
-        declare(spec("a", "L1", "C1", p));
-        long[] waits = {100, 200, 400, 500, 500};
+    void doublesBackoffUpToItsBoundUntilGivenUp() {
+        SupervisionPolicy policy = new SupervisionPolicy(3000, 1000, 800, -1, 100, 500, 6, 2000, 200, 400);
+        declare(spec("a", "L1", "C1", policy));
+        long[] backoffsMs = {100, 200, 400, 500, 500};
         int start = 1;
-        for (long wait : waits) {
+        for (long backoffMs : backoffsMs) {
             crash(start);
             assertEquals(InstanceState.BACKING_OFF, a().state());
             assertEquals(start, a().consecutiveCrashes());
             actions.takeActions();
-            now += wait - 1;
+            now += backoffMs - 1;
             supervisor.tick(now);
             assertEquals(List.of(), actions.takeActions());
             supervisor.tick(++now);
@@ -244,7 +245,7 @@
     }
 
     @Test
-    void crashesCountAnewAfterAStableTime() {
+    void resetsCrashCountAfterAStableTime() {
         declare(spec("a"));
         crash(1);
         advanceTime(100);
@@ -254,7 +255,7 @@
         reportReady("a", 3);
         advanceTime(1900, () -> reportReady("a", 3));
         supervisor.processEnded(now, "a", 3, 1);
-        assertEquals(3, a().consecutiveCrashes()); // ready, and dead before stableMs
+        assertEquals(3, a().consecutiveCrashes()); // crashed before it was ready for stableMs
         advanceTime(400);
         supervisor.spawned(now, "a", 4, P1);
         reportReady("a", 4);
