--- a/fleet/src/test/java/cacheproxy/agent/AgentKillTest.java
+++ b/fleet/src/test/java/cacheproxy/agent/AgentKillTest.java
@@ -16,44 +16,44 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /**
- * The agent dies at every point of what it does, by SIGKILL and by itself; the next one goes on. How often an instance
- * has begun is counted by the instances and the kernel. {@code -Dagent.instances=20} is the full form.
+ * Kills the agent at every failpoint and at random times; the next agent must resume its work. The starts of instances
+ * are counted from their own logs and from /proc. {@code -Dagent.instances=20} runs the full test.
  */
 @Timeout(400)
 class AgentKillTest {
     private static final int INSTANCES = Integer.getInteger("agent.instances", 8);
-    private static final int IN_SERVICE = Integer.getInteger("agent.instances", 4);
+    private static final int SERVING_INSTANCES = Integer.getInteger("agent.instances", 4);
 
-    /** All are ready, none was begun twice, and those that ran before have kept their pids. */
-    private static void allReadyOnce(AgentRig rig, Map<String, Long> before) throws Exception {
-        rig.until("all to be ready", () -> rig.all("ready"));
-        rig.begun(1);
-        Map<String, Long> now = rig.pids();
-        before.forEach((name, pid) -> assertEquals(pid, now.get(name), name));
+    /** All instances become ready, none was started twice, and those that ran before keep their pids. */
+    private static void assertAllReadyAndStartedOnce(AgentRig rig, Map<String, Long> pidsBefore) throws Exception {
+        rig.await("all to be ready", () -> rig.allInState("ready"));
+        rig.assertStarts(1);
+        Map<String, Long> pidsNow = rig.pids();
+        pidsBefore.forEach((name, pid) -> assertEquals(pid, pidsNow.get(name), name));
     }
 
-    private static Map<String, Long> alive(AgentRig rig) {
+    private static Map<String, Long> runningPids(AgentRig rig) {
         Map<String, Long> pids = new TreeMap<>();
-        rig.running
-                .look()
-                .forEach((name, those) -> pids.put(name, those.iterator().next()));
+        rig.observer
+                .scan()
+                .forEach((name, instancePids) -> pids.put(name, instancePids.iterator().next()));
         return pids;
     }
 
-    private static void applyAndDie(AgentRig rig) throws Exception {
+    private static void applyAndAwaitDeath(AgentRig rig) throws Exception {
         try {
             rig.call("apply", "site", rig.site());
         } catch (IOException e) {
-            // it has died before it answered
+            // the agent died before it answered
         }
-        assertEquals(Failpoint.EXIT_CODE, rig.ends(), rig.said());
+        assertEquals(Failpoint.EXIT_CODE, rig.awaitExit(), rig.output());
     }
 
     @Test
-    void dyingAtOnePointAfterTheOtherWhileItStartsThem() throws Exception {
+    void startsEachInstanceOnceWhenAgentsDieAtSuccessiveFailpoints() throws Exception {
         try (AgentRig rig = new AgentRig(INSTANCES)) {
-            rig.up("-Dcacheproxy.failpoint=after-SiteDeclared:1");
-            applyAndDie(rig);
+            rig.startAndAwait("-Dcacheproxy.failpoint=after-SiteDeclared:1");
+            applyAndAwaitDeath(rig);
             for (String point : List.of(
                     "before-StartAnnounced:2",
                     "after-StartAnnounced:1",
@@ -61,12 +61,12 @@
                     "after-fork:2",
                     "before-ProcessStarted:1",
                     "after-ProcessStarted:1")) {
-                rig.begin("-Dcacheproxy.failpoint=" + point);
-                assertEquals(Failpoint.EXIT_CODE, rig.ends(), point);
+                rig.startAgent("-Dcacheproxy.failpoint=" + point);
+                assertEquals(Failpoint.EXIT_CODE, rig.awaitExit(), point);
             }
-            Map<String, Long> before = alive(rig);
-            rig.up();
-            allReadyOnce(rig, before);
+            Map<String, Long> pidsBefore = runningPids(rig);
+            rig.startAndAwait();
+            assertAllReadyAndStartedOnce(rig, pidsBefore);
         }
     }
 
@@ -81,83 +81,86 @@
                 "after-ProcessStarted"
             })
     @EnabledIfSystemProperty(named = "agent.instances", matches = "\\d+")
-    void dyingAtThisPointOfTheFifth(String point) throws Exception {
+    void startsEachInstanceOnceWhenTheAgentDiesAtItsFifthStart(String point) throws Exception {
         try (AgentRig rig = new AgentRig(INSTANCES)) {
-            rig.up("-Dcacheproxy.failpoint=" + point + ":5");
-            applyAndDie(rig);
-            Map<String, Long> before = alive(rig);
-            rig.up();
-            allReadyOnce(rig, before);
+            rig.startAndAwait("-Dcacheproxy.failpoint=" + point + ":5");
+            applyAndAwaitDeath(rig);
+            Map<String, Long> pidsBefore = runningPids(rig);
+            rig.startAndAwait();
+            assertAllReadyAndStartedOnce(rig, pidsBefore);
         }
     }
 
     @Test
-    void killedAtAnyTimeWhileItStartsThem() throws Exception {
-        killedAtAnyTime(1);
+    void startsEachInstanceOnceWhenAgentsAreKilledAtRandomTimes() throws Exception {
+        killAtRandomTimes(1);
     }
 
     @ParameterizedTest
     @ValueSource(longs = {2, 3, 4, 5, 6, 7})
     @EnabledIfSystemProperty(named = "agent.instances", matches = "\\d+")
-    void killedAtAnyTimeWhileItStartsThem(long seed) throws Exception {
-        killedAtAnyTime(seed);
+    void startsEachInstanceOnceWhenAgentsAreKilledAtRandomTimes(long seed) throws Exception {
+        killAtRandomTimes(seed);
     }
 
-    private static void killedAtAnyTime(long seed) throws Exception {
+    private static void killAtRandomTimes(long seed) throws Exception {
         Random random = new Random(seed);
         try (AgentRig rig = new AgentRig(INSTANCES)) {
-            rig.up();
-            rig.done("apply", "site", rig.site());
+            rig.startAndAwait();
+            rig.callOk("apply", "site", rig.site());
             for (int i = 0; i < 4; i++) {
-                Thread.sleep(random.nextInt(i == 0 ? 300 : 1500)); // the time of its death
+                Thread.sleep(random.nextInt(i == 0 ? 300 : 1500)); // the agent is killed at a random time
                 rig.kill();
-                rig.begin();
+                rig.startAgent();
             }
-            Map<String, Long> before = alive(rig);
-            rig.answers();
-            allReadyOnce(rig, before);
+            Map<String, Long> pidsBefore = runningPids(rig);
+            rig.awaitAnswer();
+            assertAllReadyAndStartedOnce(rig, pidsBefore);
         }
     }
 
-    /** Danger: a restart is forgotten half-way, done twice, or takes two down at once where one may be. */
+    /**
+     * Guards against a rolling restart that an agent death leaves unfinished, repeats, or lets exceed its limit of
+     * instances down at once.
+     */
     @Test
-    void reloadsRollsAndStopsGoOnAfterItsDeathAndNoRequestFails() throws Exception {
-        try (AgentRig rig = new AgentRig(IN_SERVICE)) {
-            rig.up();
-            rig.done("apply", "site", rig.site());
-            rig.until("all to be ready", () -> rig.all("ready"));
-            Map<String, Long> first = rig.pids();
-            try (SteadyLoad clients = new SteadyLoad(rig.ports, rig.node, 3)) {
+    void resumesReloadRollingRestartAndStopWithoutFailedRequests() throws Exception {
+        try (AgentRig rig = new AgentRig(SERVING_INSTANCES)) {
+            rig.startAndAwait();
+            rig.callOk("apply", "site", rig.site());
+            rig.await("all to be ready", () -> rig.allInState("ready"));
+            Map<String, Long> initialPids = rig.pids();
+            try (SteadyLoad load = new SteadyLoad(rig.ports, rig.node, 3)) {
                 reload(rig);
-                assertEquals(first, rig.pids(), "no reload is a restart");
-                roll(rig);
-                rig.pids().forEach((name, pid) -> assertTrue(!pid.equals(first.get(name)), name));
+                assertEquals(initialPids, rig.pids(), "a reload must not restart an instance");
+                rollingRestart(rig);
+                rig.pids().forEach((name, pid) -> assertTrue(!pid.equals(initialPids.get(name)), name));
                 assertEquals(
                         List.of(),
-                        clients.end(),
-                        clients.answered + " answered, " + clients.again + " sent to another");
-                assertTrue(clients.answered.get() > 100, clients.answered + " answered");
-                System.out.println("reload and roll of " + IN_SERVICE + ": " + clients.answered + " answered, "
-                        + clients.again + " sent to another instance, none failed");
+                        load.stopAndGetFailures(),
+                        load.answered + " answered, " + load.resent + " sent to another");
+                assertTrue(load.answered.get() > 100, load.answered + " answered");
+                System.out.println("reload and roll of " + SERVING_INSTANCES + ": " + load.answered + " answered, "
+                        + load.resent + " sent to another instance, none failed");
             }
             stop(rig);
-            rig.begun(2);
+            rig.assertStarts(2);
         }
     }
 
     private static void reload(AgentRig rig) throws Exception {
         rig.kill();
-        rig.up("-Dcacheproxy.failpoint=mid-reload:2");
-        rig.until("all to be ready", () -> rig.all("ready"));
-        rig.sockets = 2048;
+        rig.startAndAwait("-Dcacheproxy.failpoint=mid-reload:2");
+        rig.await("all to be ready", () -> rig.allInState("ready"));
+        rig.socketLimit = 2048;
         try {
             rig.call("apply", "site", rig.site());
         } catch (IOException e) {
-            // it has died before it answered
+            // the agent died before it answered
         }
-        assertEquals(Failpoint.EXIT_CODE, rig.ends());
-        rig.up();
-        rig.until(
+        assertEquals(Failpoint.EXIT_CODE, rig.awaitExit());
+        rig.startAndAwait();
+        rig.await(
                 "all to have the new configuration",
                 () -> IntStream.range(0, rig.ports.length).allMatch(i -> {
                     try {
@@ -166,48 +169,48 @@
                         return false;
                     }
                 }));
-        rig.until("all to be ready", () -> rig.all("ready"));
+        rig.await("all to be ready", () -> rig.allInState("ready"));
     }
 
-    private static void roll(AgentRig rig) throws Exception {
+    private static void rollingRestart(AgentRig rig) throws Exception {
         rig.kill();
-        rig.up("-Dcacheproxy.failpoint=after-RollingRestartInstanceBegun:1");
-        rig.until("all to be ready", () -> rig.all("ready"));
+        rig.startAndAwait("-Dcacheproxy.failpoint=after-RollingRestartInstanceBegun:1");
+        rig.await("all to be ready", () -> rig.allInState("ready"));
         try {
             rig.call("roll", "names", List.of(), "mostDown", 1);
         } catch (IOException e) {
-            // it has died before it answered
+            // the agent died before it answered
         }
-        assertEquals(Failpoint.EXIT_CODE, rig.ends());
+        assertEquals(Failpoint.EXIT_CODE, rig.awaitExit());
         for (String point : List.of(
                 "before-terminate:1",
                 "after-terminate:1",
                 "before-StartAnnounced:1",
                 "after-fork:1",
                 "after-RollingRestartInstanceDone:1")) {
-            rig.begin("-Dcacheproxy.failpoint=" + point);
-            assertEquals(Failpoint.EXIT_CODE, rig.ends(), point);
+            rig.startAgent("-Dcacheproxy.failpoint=" + point);
+            assertEquals(Failpoint.EXIT_CODE, rig.awaitExit(), point);
         }
-        rig.up();
-        rig.until("the roll to end", () -> !rig.done("list").containsKey("rolling"));
-        assertTrue(rig.happened("is done"), () -> rig.account());
-        rig.until("all to be ready", () -> rig.all("ready"));
+        rig.startAndAwait();
+        rig.await("the rolling restart to end", () -> !rig.callOk("list").containsKey("rolling"));
+        assertTrue(rig.hasEvent("is done"), () -> rig.diagnostics());
+        rig.await("all to be ready", () -> rig.allInState("ready"));
     }
 
     private static void stop(AgentRig rig) throws Exception {
         rig.kill();
-        rig.up("-Dcacheproxy.failpoint=before-terminate:2");
-        rig.until("all to be ready", () -> rig.all("ready"));
+        rig.startAndAwait("-Dcacheproxy.failpoint=before-terminate:2");
+        rig.await("all to be ready", () -> rig.allInState("ready"));
         try {
             rig.call("stop", "names", List.of());
         } catch (IOException e) {
-            // it has died before it answered
+            // the agent died before it answered
         }
-        assertEquals(Failpoint.EXIT_CODE, rig.ends());
-        rig.up();
+        assertEquals(Failpoint.EXIT_CODE, rig.awaitExit());
+        rig.startAndAwait();
         List<String> names = List.copyOf(rig.list().keySet());
-        rig.done("stop", "names", names); // the operator saw no answer, and asks again
-        rig.until("all to be stopped", () -> rig.all("stopped"));
-        assertEquals(Map.of(), rig.running.look());
+        rig.callOk("stop", "names", names); // the operator got no answer and repeats the command
+        rig.await("all to be stopped", () -> rig.allInState("stopped"));
+        assertEquals(Map.of(), rig.observer.scan());
     }
 }
--- a/fleet/src/test/java/cacheproxy/agent/AgentRig.java
+++ b/fleet/src/test/java/cacheproxy/agent/AgentRig.java
@@ -20,12 +20,12 @@
 import java.util.concurrent.TimeUnit;
 import java.util.stream.Stream;
 
-/** A real agent as a process on a state folder of its own, real instances, and a scripted node behind them. */
+/** Runs a real agent process on its own state folder, with real instances and a stand-in cache node behind them. */
 final class AgentRig implements AutoCloseable {
-    static final int CALL_MS = 15_000;
-    static final long WAIT_MS = 120_000;
-    /** A JVM says this once, right after its start. */
-    private static final String BEGINS = "CPUs: ";
+    static final int CALL_TIMEOUT_MS = 15_000;
+    static final long WAIT_TIMEOUT_MS = 120_000;
+    /** Each JVM logs this exactly once, right after its start. */
+    private static final String JVM_START_LINE = "CPUs: ";
 
     private static final String SETTINGS = """
         {"index":0,"balancers":1,"az":0,"domainType":"cache","familyInfo":{"mode":"through","originKind":-1},
@@ -47,37 +47,37 @@
     final Path folder;
     final int[] ports;
     final StandInCacheNode node = new StandInCacheNode();
-    final ProcessObserver running;
+    final ProcessObserver observer;
     Process agent;
-    /** What a site is written with. */
+    /** The policy in the site file. */
     String policy = "\"probeMs\":400,\"forkMs\":1500,\"readyWithinMs\":60000,\"stopWithinMs\":15000";
 
-    String jvm = "";
-    int sockets = 1024;
+    String extraJvmOptions = "";
+    int socketLimit = 1024;
     private final List<Process> agents = new ArrayList<>();
-    private final Thread hook = new Thread(this::endAll);
+    private final Thread shutdownHook = new Thread(this::killAll);
 
     AgentRig(int instances) throws IOException {
-        folder = Files.createTempDirectory("hatch"); // with mode 700
+        folder = Files.createTempDirectory("hatch"); // created with mode 700
         ports = freePorts(instances);
-        running = new ProcessObserver(folder);
-        Runtime.getRuntime().addShutdownHook(hook);
+        observer = new ProcessObserver(folder);
+        Runtime.getRuntime().addShutdownHook(shutdownHook);
     }
 
-    /** Below those that the system deals out to clients. */
+    /** Free ports below the range that the system assigns to client connections. */
     private static int[] freePorts(int count) throws IOException {
-        for (int tries = 0; tries < 100; tries++) {
+        for (int attempt = 0; attempt < 100; attempt++) {
             int first = ThreadLocalRandom.current().nextInt(10_000, 20_000 - count);
             int[] ports = new int[count];
             Arrays.setAll(ports, i -> first + i);
-            if (Arrays.stream(ports).allMatch(AgentRig::free)) {
+            if (Arrays.stream(ports).allMatch(AgentRig::isFree)) {
                 return ports;
             }
         }
         throw new IOException("no free ports");
     }
 
-    private static boolean free(int port) {
+    private static boolean isFree(int port) {
         try (ServerSocket s = new ServerSocket(port, 1, InetAddress.getLoopbackAddress())) {
             return s.isBound();
         } catch (IOException e) {
@@ -87,11 +87,12 @@
 
     // ---- the site ----
 
-    String group(String name, int first, int count, String more) {
+    String group(String name, int first, int count, String extraFields) {
         return "{\"name\":\"" + name + "\",\"first\":" + first + ",\"count\":" + count
                 + ",\"listen\":\"127.0.0.1:{" + ports[0] + "+i}\",\"jvm\":[\"-XX:+UseSerialGC\","
                 + "\"-XX:TieredStopAtLevel=1\",\"-Xshare:auto\",\"-Xmx48m\",\"-XX:-UsePerfData\","
-                + "\"-Xlog:gc+init\"" + jvm + "]" + more + ",\"configuration\":{\"limits\":{\"sockets\":" + sockets
+                + "\"-Xlog:gc+init\"" + extraJvmOptions + "]" + extraFields
+                + ",\"configuration\":{\"limits\":{\"sockets\":" + socketLimit
                 + "},\"known\":{\"version\":1,\"full\":true,\"servers\":[{\"id\":\"s-0\",\"addr\":\"" + node.address()
                 + "\",\"zone\":\"east\",\"kind\":\"full\",\"cell\":1,\"state\":\"SERVING\",\"weight\":1.0,"
                 + "\"started_ms\":0}]},\"settings\":" + SETTINGS + "}}";
@@ -102,94 +103,94 @@
                 + "]}";
     }
 
-    /** All of them, p0 and on. */
+    /** The site with all instances, named p0 and on. */
     String site() {
         return site(group("p{i}", 0, ports.length, ""));
     }
 
     // ---- the agent ----
 
-    /** Agents begin with SIGINT ignored, as those of a script's background do. */
-    boolean ignoresInt;
+    /** Starts agents with SIGINT ignored, as for a background job of a script. */
+    boolean sigintIgnored;
 
-    Process begin(String... options) throws IOException {
-        return begin(":", options);
+    Process startAgent(String... options) throws IOException {
+        return startAgent(":", options);
     }
 
-    /** {@code before}: a shell's commands before the agent takes the shell's place. */
-    Process begin(String before, String[] options) throws IOException {
-        // an ignored SIGINT is inherited, as in a script's background, and the JVM keeps it so: said anew here
-        ProcessBuilder b = new ProcessBuilder(
+    /** {@code before}: shell commands to run before the shell is replaced by the agent. */
+    Process startAgent(String before, String[] options) throws IOException {
+        // an ignored SIGINT is inherited and stays ignored in the JVM, so the disposition is set explicitly
+        ProcessBuilder builder = new ProcessBuilder(
                 "env",
-                (ignoresInt ? "--ignore" : "--default") + "-signal=INT",
+                (sigintIgnored ? "--ignore" : "--default") + "-signal=INT",
                 "sh",
                 "-c",
                 before + "; exec \"$@\"",
                 "sh",
                 Path.of(System.getProperty("java.home"), "bin", "java").toString());
-        b.command().addAll(LocalAgent.AGENT_JVM);
-        b.command().addAll(List.of(options));
-        b.command()
+        builder.command().addAll(LocalAgent.AGENT_JVM);
+        builder.command().addAll(List.of(options));
+        builder.command()
                 .addAll(List.of(
                         "-cp",
                         System.getProperty("java.class.path"),
                         "cacheproxy.fleet.Main",
                         "agent",
                         folder.toString()));
-        b.redirectErrorStream(true);
-        b.redirectOutput(
+        builder.redirectErrorStream(true);
+        builder.redirectOutput(
                 ProcessBuilder.Redirect.appendTo(folder.resolve("agent.out").toFile()));
-        agent = b.start();
+        agent = builder.start();
         agents.add(agent);
         return agent;
     }
 
-    /** Begins one, and waits until it answers. */
-    void up(String... options) throws Exception {
-        begin(options);
-        answers();
+    /** Starts an agent and waits until it answers. */
+    void startAndAwait(String... options) throws Exception {
+        startAgent(options);
+        awaitAnswer();
     }
 
-    void answers() throws Exception {
-        until("the agent to answer", () -> {
+    void awaitAnswer() throws Exception {
+        await("the agent to answer", () -> {
             if (!agent.isAlive()) {
-                throw new AssertionError("it has ended with " + agent.exitValue());
+                throw new AssertionError("the agent ended with code " + agent.exitValue());
             }
             return call("list") != null;
         });
     }
 
-    int ends() throws Exception {
-        if (!agent.waitFor(WAIT_MS, TimeUnit.MILLISECONDS)) {
-            throw new AssertionError("the agent does not end; " + account());
+    int awaitExit() throws Exception {
+        if (!agent.waitFor(WAIT_TIMEOUT_MS, TimeUnit.MILLISECONDS)) {
+            throw new AssertionError("the agent does not exit; " + diagnostics());
         }
         return agent.exitValue();
     }
 
     void kill() throws Exception {
         agent.destroyForcibly();
-        ends();
+        awaitExit();
     }
 
     static void signal(String name, long pid) throws IOException, InterruptedException {
         new ProcessBuilder("kill", "-" + name, Long.toString(pid)).start().waitFor();
     }
 
-    String said() throws IOException {
+    String output() throws IOException {
         return Files.readString(folder.resolve("agent.out"));
     }
 
-    // ---- talking to it ----
+    // ---- requests to the agent ----
 
     Map<String, Object> call(String op, Object... fields) throws IOException {
         Map<String, Object> request = ControlCodec.request(op);
         for (int i = 0; i < fields.length; i += 2) {
             request.put((String) fields[i], fields[i + 1]);
         }
-        return ControlClient.call(folder.resolve("agent.sock"), request, CALL_MS);
+        return ControlClient.call(folder.resolve("agent.sock"), request, CALL_TIMEOUT_MS);
     }
 
-    Map<String, Object> done(String op, Object... fields) throws IOException {
+    Map<String, Object> callOk(String op, Object... fields) throws IOException {
         Map<String, Object> reply = call(op, fields);
         if (!Boolean.TRUE.equals(reply.get("ok"))) {
             throw new AssertionError(op + ": " + reply);
@@ -197,37 +198,37 @@
         return reply;
     }
 
-    /** Name and what is listed of it. */
-    @SuppressWarnings("unchecked") // a reply's objects have names for keys
+    /** The reply to {@code list}, by instance name. */
+    @SuppressWarnings("unchecked") // JSON objects in a reply have strings as keys
     Map<String, Map<String, Object>> list() throws IOException {
         Map<String, Map<String, Object>> named = new TreeMap<>();
-        ((List<Map<String, Object>>) done("list").get("instances"))
-                .forEach(one -> named.put((String) one.get("name"), one));
+        ((List<Map<String, Object>>) callOk("list").get("instances"))
+                .forEach(instance -> named.put((String) instance.get("name"), instance));
         return named;
     }
 
-    Map<String, Object> one(String name) throws IOException {
+    Map<String, Object> instance(String name) throws IOException {
         return list().get(name);
     }
 
     long pid(String name) throws IOException {
-        return ((Number) one(name).get("pid")).longValue();
+        return ((Number) instance(name).get("pid")).longValue();
     }
 
-    boolean in(String state, String name) throws IOException {
-        Map<String, Object> one = one(name);
-        return one != null && state.equals(one.get("state"));
+    boolean isInState(String state, String name) throws IOException {
+        Map<String, Object> instance = instance(name);
+        return instance != null && state.equals(instance.get("state"));
     }
 
-    boolean all(String state) throws IOException {
+    boolean allInState(String state) throws IOException {
         Map<String, Map<String, Object>> list = list();
         return list.size() == ports.length && list.values().stream().allMatch(i -> state.equals(i.get("state")));
     }
 
     Map<String, Long> pids() throws IOException {
         Map<String, Long> pids = new TreeMap<>();
-        list().forEach((name, one) -> {
-            if (one.get("pid") instanceof Number pid) {
+        list().forEach((name, instance) -> {
+            if (instance.get("pid") instanceof Number pid) {
                 pids.put(name, pid.longValue());
             }
         });
@@ -238,38 +239,38 @@
         return Files.readAllLines(folder.resolve("events.log"));
     }
 
-    boolean happened(String text) throws IOException {
+    boolean hasEvent(String text) throws IOException {
         return events().stream().anyMatch(l -> l.contains(text));
     }
 
-    void until(String what, Callable<Boolean> done) throws Exception {
-        long end = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(WAIT_MS);
-        for (Exception last = null; ; Thread.sleep(5)) {
+    void await(String what, Callable<Boolean> condition) throws Exception {
+        long deadlineNs = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(WAIT_TIMEOUT_MS);
+        for (Exception lastError = null; ; Thread.sleep(5)) {
             try {
-                if (done.call()) {
+                if (condition.call()) {
                     return;
                 }
             } catch (IOException e) {
-                last = e; // it does not listen yet, or has died
+                lastError = e; // the agent does not listen yet, or has died
             } catch (AssertionError e) {
-                throw new AssertionError(what + ": " + e.getMessage() + "; " + account(), e);
+                throw new AssertionError(what + ": " + e.getMessage() + "; " + diagnostics(), e);
             }
-            if (System.nanoTime() > end) {
-                throw new AssertionError(what + ": not seen, last " + last + "; " + account());
+            if (System.nanoTime() > deadlineNs) {
+                throw new AssertionError(what + ": timed out, last error " + lastError + "; " + diagnostics());
             }
         }
     }
 
-    /** For a test that failed: what can be known. */
-    String account() {
+    /** The output, events and instances of the agent, for the message of a failed test. */
+    String diagnostics() {
         StringBuilder all = new StringBuilder();
         try {
-            all.append("agent said ")
-                    .append(said())
+            all.append("agent output: ")
+                    .append(output())
                     .append("\nevents:\n")
                     .append(String.join("\n", events()))
-                    .append("\nseen: ")
-                    .append(running.seen())
+                    .append("\nobserved: ")
+                    .append(observer.observedPids())
                     .append("\nlist: ");
             all.append(list());
         } catch (IOException e) {
@@ -278,42 +279,43 @@
         return all.toString();
     }
 
-    // ---- what the instances tell themselves ----
+    // ---- logs of the instances ----
 
     String log(String name) throws IOException {
         Path file = folder.resolve("log").resolve(name + ".log");
         return Files.exists(file) ? Files.readString(file, StandardCharsets.ISO_8859_1) : "";
     }
 
-    /** How often a process of this name has begun, as each wrote it into its log. */
-    long begun(String name) throws IOException {
-        return log(name).lines().filter(l -> l.contains(BEGINS)).count();
+    /** How many processes of this instance have started, according to its log. */
+    long startCount(String name) throws IOException {
+        return log(name).lines().filter(l -> l.contains(JVM_START_LINE)).count();
     }
 
-    /** That each has begun so often and no two of a name lived at once. */
-    void begun(int times) throws IOException {
+    /** Asserts that each instance was started this often and never had two processes at once. */
+    void assertStarts(int times) throws IOException {
         for (int i = 0; i < ports.length; i++) {
             String name = "p" + i;
-            if (begun(name) != times || log(name).contains("is held by")) {
-                throw new AssertionError(name + " has begun " + begun(name) + " times; " + account());
+            if (startCount(name) != times || log(name).contains("is held by")) {
+                throw new AssertionError(name + " was started " + startCount(name) + " times; " + diagnostics());
             }
         }
-        Map<String, Set<Long>> seen = running.seen();
-        if (!running.twice().isEmpty()
-                || seen.size() != ports.length
-                || seen.values().stream().anyMatch(pids -> pids.size() != times)) {
-            throw new AssertionError("seen " + seen + ", at once " + running.twice() + "; " + account());
+        Map<String, Set<Long>> observed = observer.observedPids();
+        if (!observer.simultaneousProcesses().isEmpty()
+                || observed.size() != ports.length
+                || observed.values().stream().anyMatch(pids -> pids.size() != times)) {
+            throw new AssertionError("observed " + observed + ", at the same time "
+                    + observer.simultaneousProcesses() + "; " + diagnostics());
         }
     }
 
-    // ---- the end ----
+    // ---- cleanup ----
 
-    private void endAll() {
+    private void killAll() {
         try {
             for (Process p : agents) {
                 p.destroyForcibly().waitFor();
             }
-            running.endAll();
+            observer.killAll();
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
@@ -321,10 +323,10 @@
 
     @Override
     public void close() throws IOException {
-        Thread.interrupted(); // of a test that took too long: what it began is ended all the same
-        endAll();
-        running.close();
-        Runtime.getRuntime().removeShutdownHook(hook);
+        Thread.interrupted(); // clears the interrupt of a test that timed out, so that cleanup can finish
+        killAll();
+        observer.close();
+        Runtime.getRuntime().removeShutdownHook(shutdownHook);
         node.close();
         try (Stream<Path> all = Files.walk(folder)) {
             for (Path p : all.sorted((a, b) -> b.compareTo(a)).toList()) {
--- a/fleet/src/test/java/cacheproxy/agent/EarlierVersionTest.java
+++ b/fleet/src/test/java/cacheproxy/agent/EarlierVersionTest.java
@@ -22,8 +22,8 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /**
- * Files that an agent wrote when the programs were named hatchctl and holdproxy: the journal and the site file in
- * {@code earlier/} come from a run of that version, in which its agent was killed and its instances were left running.
+ * Compatibility with files of the version whose programs were named hatchctl and holdproxy. The journal and the site
+ * file in {@code earlier/} come from a run of that version whose agent was killed while its instances kept running.
  */
 class EarlierVersionTest {
     private static final String BOOT = "0263e76c-11c3-4e79-a819-39fa2892c72d";
@@ -60,7 +60,7 @@
     }
 
     @Test
-    void eachRecordOfItsJournalIsRead() throws IOException {
+    void readsEveryRecordOfTheEarlierJournal() throws IOException {
         assertEquals(
                 List.of(
                         new JournalRecord.SiteDeclared(new String(readResource("site.json"), StandardCharsets.UTF_8)),
@@ -93,7 +93,7 @@
     }
 
     @Test
-    void itsInstancesAreAdoptedAndNeedNoRestart() throws IOException {
+    void adoptsInstancesOfTheEarlierVersionWithoutRestart() throws IOException {
         RecordedActions actions = new RecordedActions();
         Supervisor supervisor = new Supervisor(actions);
         SiteFile site = null;
@@ -111,7 +111,7 @@
         supervisor.searchCompleted(1, "node0", 3, NODE);
         for (Instance instance : supervisor.instances()) {
             assertEquals(InstanceState.ADOPTED, instance.state());
-            assertFalse(instance.outdated(), "it was launched as the same site file declares it now");
+            assertFalse(instance.outdated(), "the launch digest must match the one computed from the site file");
         }
         assertEquals(
                 List.of(
@@ -125,16 +125,17 @@
     }
 
     @Test
-    void aProcessIsFoundByItsMarkWhateverItsProgramIsCalled() throws Exception {
+    void findsProcessByItsStartVariableWhateverTheProgramIsCalled() throws Exception {
         ProcFs processes = new ProcFs(Path.of("/proc"));
-        String secret = new InstanceClient().secret(); // of this run: no other process may have it
+        String secret = new InstanceClient().secret(); // unique to this run, so that no other process has it
         ProcessBuilder builder = new ProcessBuilder("sleep", "60");
         builder.environment().put("LB_START", "node0/3/" + secret);
         Process process = builder.start();
         try {
-            long end = System.nanoTime() + 10_000_000_000L;
+            long deadlineNs = System.nanoTime() + 10_000_000_000L;
             UniqueProcessId found = null;
-            while (found == null && System.nanoTime() < end) { // the environment is its own only after exec(2)
+            // the new environment is visible only after exec(2)
+            while (found == null && System.nanoTime() < deadlineNs) {
                 found = processes.findByEnvironmentVariable(Launcher.startVariable("node0", 3, secret));
             }
             assertEquals(processes.identity(process.pid()), found);
@@ -144,13 +145,13 @@
         }
     }
 
-    /** Keeps what the core asks for, and does nothing. */
+    /** Records the requested actions without carrying them out. */
     private static final class RecordedActions implements SupervisorActions {
         final List<String> calls = new ArrayList<>();
 
         @Override
-        public boolean appendToJournal(JournalRecord entry) {
-            calls.add("note " + entry);
+        public boolean appendToJournal(JournalRecord journalRecord) {
+            calls.add("note " + journalRecord);
             return true;
         }
 
--- a/fleet/src/test/java/cacheproxy/agent/EventLogTest.java
+++ b/fleet/src/test/java/cacheproxy/agent/EventLogTest.java
@@ -14,7 +14,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** What has happened, in memory and in the file. */
+/** The event log in memory and in its file. */
 class EventLogTest {
     private static final int MAX_EVENTS_IN_MEMORY = 5_000;
 
@@ -22,7 +22,7 @@
     Path folder;
 
     @Test
-    void eachHasANumberAndIsToldFromThereOn() {
+    void numbersEventsAndReturnsThemFromAGivenNumber() {
         EventLog events = new EventLog(folder.resolve("e"));
         assertEquals(1, events.nextNumber());
         assertEquals(List.of(), events.from(0, 10));
@@ -46,7 +46,7 @@
     }
 
     @Test
-    void theFileHoldsALineEachAndGoesOnUnderTheNextAgent() throws IOException {
+    void writesOneLinePerEventAndAppendsAfterAgentRestart() throws IOException {
         Path file = folder.resolve("e");
         EventLog events = new EventLog(file);
         events.add("", "agent begins");
@@ -60,8 +60,8 @@
     }
 
     @Test
-    void theLastOfThemAreKept() {
-        EventLog events = new EventLog(folder.resolve("none").resolve("e")); // no file can be had
+    void keepsMostRecentEventsInMemory() {
+        EventLog events = new EventLog(folder.resolve("none").resolve("e")); // the file cannot be created
         for (int i = 1; i <= MAX_EVENTS_IN_MEMORY + 10; i++) {
             events.add("n0", "x" + i);
         }
@@ -74,7 +74,7 @@
     }
 
     @Test
-    void theFileIsKeptWithinBounds() throws IOException {
+    void rotatesFileOverItsBound() throws IOException {
         Path file = folder.resolve("e");
         Files.write(file, new byte[(int) LogRotation.MAX_BYTES + 1]);
         new EventLog(file).add("", "after");
@@ -84,7 +84,7 @@
     }
 
     @Test
-    void noInstanceSharesAFileWithThem() {
+    void keepsAgentFilesApartFromInstanceFiles() {
         StateFolder stateFolder = new StateFolder(folder);
         assertNotEquals(stateFolder.events(), stateFolder.log("events"));
         assertNotEquals(stateFolder.agentSocket(), stateFolder.socket("agent"));
--- a/fleet/src/test/java/cacheproxy/agent/JournalTest.java
+++ b/fleet/src/test/java/cacheproxy/agent/JournalTest.java
@@ -24,12 +24,13 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /**
- * The journal after anything that can happen to it. Danger: an entry that was announced and is lost starts a process
- * twice; one that was never written starts one that nobody wants.
+ * The journal after torn writes, damage and failures. Guards against a lost announcement, after which a process would
+ * be started twice, and against reading a record that was never written, which could start a process that should not
+ * run.
  */
 class JournalTest {
     private static final String SITE = "{\"name\":\"s\",\n\t\"x\":\"\u00e4\u2028\ud83d\ude00\\\" \u0000\"}";
-    /** Each kind, with the ends of its ranges. */
+    /** Records of all kinds, with the limits of their value ranges. */
     private static final List<JournalRecord> ALL = List.of(
             new JournalRecord.SiteDeclared(SITE),
             new JournalRecord.DesiredStateSet("n0", true),
@@ -54,38 +55,38 @@
     private Path file;
 
     @BeforeEach
-    void file() {
+    void setFile() {
         file = folder.resolve("journal");
     }
 
     private List<JournalRecord> read() throws IOException {
-        List<JournalRecord> read = new ArrayList<>();
-        Journal.open(file, read::add).close();
-        return read;
+        List<JournalRecord> records = new ArrayList<>();
+        Journal.open(file, records::add).close();
+        return records;
     }
 
-    private List<JournalRecord> readAndAppend(JournalRecord... more) throws IOException {
-        List<JournalRecord> read = new ArrayList<>();
-        try (Journal journal = Journal.open(file, read::add)) {
-            for (JournalRecord e : more) {
-                journal.append(e);
+    private List<JournalRecord> readAndAppend(JournalRecord... moreRecords) throws IOException {
+        List<JournalRecord> records = new ArrayList<>();
+        try (Journal journal = Journal.open(file, records::add)) {
+            for (JournalRecord journalRecord : moreRecords) {
+                journal.append(journalRecord);
             }
         }
-        return read;
+        return records;
     }
 
-    /** The file with all of them, and where each line begins; the last number is its length. */
-    private List<Integer> written(List<JournalRecord> all) throws IOException {
-        assertEquals(List.of(), readAndAppend(all.toArray(JournalRecord[]::new)));
+    /** Writes the file with these records and returns the offset of each line; the last number is the file length. */
+    private List<Integer> writeJournal(List<JournalRecord> content) throws IOException {
+        assertEquals(List.of(), readAndAppend(content.toArray(JournalRecord[]::new)));
         byte[] bytes = Files.readAllBytes(file);
-        List<Integer> begins = new ArrayList<>(List.of(0));
+        List<Integer> lineOffsets = new ArrayList<>(List.of(0));
         for (int i = 0; i < bytes.length; i++) {
             if (bytes[i] == '\n') {
-                begins.add(i + 1);
+                lineOffsets.add(i + 1);
             }
         }
-        assertEquals(all.size() + 2, begins.size(), "a line each, and the header's");
-        return begins;
+        assertEquals(content.size() + 2, lineOffsets.size(), "one line for each record, and the header");
+        return lineOffsets;
     }
 
     private static byte[] line(String json) {
@@ -96,82 +97,83 @@
     }
 
     private void write(byte[]... parts) throws IOException {
-        ByteArrayOutputStream all = new ByteArrayOutputStream();
+        ByteArrayOutputStream content = new ByteArrayOutputStream();
         for (byte[] p : parts) {
-            all.write(p);
+            content.write(p);
         }
-        Files.write(file, all.toByteArray());
+        Files.write(file, content.toByteArray());
     }
 
-    private String refused() throws IOException {
+    private String assertRejected() throws IOException {
         byte[] before = Files.readAllBytes(file);
-        String why = assertThrows(InvalidInputException.class, this::read).getMessage();
-        assertArrayEquals(before, Files.readAllBytes(file), "what is refused is left as it is");
-        assertTrue(why.contains(file.toString()), why);
-        return why;
+        String message = assertThrows(InvalidInputException.class, this::read).getMessage();
+        assertArrayEquals(before, Files.readAllBytes(file), "a rejected file stays unchanged");
+        assertTrue(message.contains(file.toString()), message);
+        return message;
     }
 
     @Test
-    void everyEntryIsReadAsItWasWritten() throws IOException {
+    void readsEveryRecordAsWritten() throws IOException {
         long kinds = ALL.stream().map(Object::getClass).distinct().count();
-        assertEquals(JournalRecord.class.getPermittedSubclasses().length, kinds, "each kind");
-        written(ALL);
+        assertEquals(JournalRecord.class.getPermittedSubclasses().length, kinds, "all kinds of records are covered");
+        writeJournal(ALL);
         assertEquals(ALL, read());
         assertEquals(ALL, readAndAppend(NEXT));
-        List<JournalRecord> more = new ArrayList<>(ALL);
-        more.add(NEXT);
-        assertEquals(more, read());
+        List<JournalRecord> moreRecords = new ArrayList<>(ALL);
+        moreRecords.add(NEXT);
+        assertEquals(moreRecords, read());
     }
 
     @Test
-    void aWriteTornAtAnyByteLosesItsEntryAlone() throws IOException {
-        List<Integer> begins = written(ALL);
-        byte[] all = Files.readAllBytes(file);
-        for (int cut = 0; cut < all.length; cut++) {
-            Files.write(file, Arrays.copyOf(all, cut));
-            int whole = 0;
-            while (begins.get(whole + 1) <= cut) {
-                whole++; // lines, of which the first is the header
+    void losesOnlyTheLastRecordToAWriteTornAtAnyByte() throws IOException {
+        List<Integer> lineOffsets = writeJournal(ALL);
+        byte[] content = Files.readAllBytes(file);
+        for (int length = 0; length < content.length; length++) {
+            Files.write(file, Arrays.copyOf(content, length));
+            int completeLines = 0;
+            while (lineOffsets.get(completeLines + 1) <= length) {
+                completeLines++; // complete lines, including the header
             }
-            List<JournalRecord> kept = ALL.subList(0, Math.max(0, whole - 1));
-            assertEquals(kept, readAndAppend(NEXT), "cut at " + cut);
-            List<JournalRecord> more = new ArrayList<>(kept);
-            more.add(NEXT);
-            assertEquals(more, read(), "cut at " + cut);
+            List<JournalRecord> expectedRecords = ALL.subList(0, Math.max(0, completeLines - 1));
+            assertEquals(expectedRecords, readAndAppend(NEXT), "cut at " + length);
+            List<JournalRecord> moreRecords = new ArrayList<>(expectedRecords);
+            moreRecords.add(NEXT);
+            assertEquals(moreRecords, read(), "cut at " + length);
         }
     }
 
     @Test
-    void whatATornWriteLeftOfALongerLineIsNotReadAgain() throws IOException {
-        written(List.of(new JournalRecord.SiteDeclared("x".repeat(1000) + "\n")));
-        byte[] all = Files.readAllBytes(file);
-        Files.write(file, Arrays.copyOf(all, all.length - 1));
+    void discardsRestOfALongerTornLine() throws IOException {
+        writeJournal(List.of(new JournalRecord.SiteDeclared("x".repeat(1000) + "\n")));
+        byte[] content = Files.readAllBytes(file);
+        Files.write(file, Arrays.copyOf(content, content.length - 1));
         readAndAppend(NEXT);
         assertEquals(List.of(NEXT), read());
         assertEquals(2, Files.readAllLines(file).size());
     }
 
     @Test
-    void aSpoiltByteIsRefusedWithItsLineWhereGoodOnesFollowAndCutOffWhereNoneDo() throws IOException {
-        List<Integer> begins = written(ALL);
-        byte[] all = Files.readAllBytes(file);
+    void rejectsDamagedLineBeforeValidLinesAndCutsOffDamagedLastLine() throws IOException {
+        List<Integer> lineOffsets = writeJournal(ALL);
+        byte[] content = Files.readAllBytes(file);
         for (int line = 0; line <= ALL.size(); line++) {
             boolean last = line == ALL.size();
-            for (int at = begins.get(line); at < begins.get(line + 1); at++) {
-                for (int flip : new int[] {1, 0x80, all[at] ^ '\n'}) {
-                    if (flip == 0 || line == ALL.size() - 1 && all[at] == '\n') {
-                        continue; // the end of the last line but one: below
+            for (int offset = lineOffsets.get(line); offset < lineOffsets.get(line + 1); offset++) {
+                for (int bitMask : new int[] {1, 0x80, content[offset] ^ '\n'}) {
+                    if (bitMask == 0 || line == ALL.size() - 1 && content[offset] == '\n') {
+                        continue; // the newline before the last line has its own test below
                     }
-                    byte[] spoilt = all.clone();
-                    spoilt[at] ^= (byte) flip;
-                    Files.write(file, spoilt);
+                    byte[] damaged = content.clone();
+                    damaged[offset] ^= (byte) bitMask;
+                    Files.write(file, damaged);
                     if (last) {
-                        assertEquals(ALL.subList(0, ALL.size() - 1), read(), "byte " + at);
+                        assertEquals(ALL.subList(0, ALL.size() - 1), read(), "byte " + offset);
                     } else {
-                        String why = refused();
+                        String message = assertRejected();
                         assertTrue(
-                                why.contains(" damaged in line " + (line + 1) + ", byte " + begins.get(line) + ","),
-                                at + ": " + why);
+                                message.contains(
+                                        " damaged in line " + (line + 1) + ", byte " + lineOffsets.get(line) + ","),
+                                offset + ": " + message);
                     }
                 }
             }
@@ -179,44 +181,44 @@
     }
 
     @Test
-    void aGoodLineBehindASpoiltEndOfLineIsNotCutOff() throws IOException {
-        List<Integer> begins = written(ALL);
-        byte[] all = Files.readAllBytes(file);
-        all[begins.get(ALL.size()) - 1] = ' ';
-        Files.write(file, all);
-        assertTrue(refused().contains(" damaged in line " + ALL.size() + ","));
+    void rejectsDamagedNewlineBeforeAValidLine() throws IOException {
+        List<Integer> lineOffsets = writeJournal(ALL);
+        byte[] content = Files.readAllBytes(file);
+        content[lineOffsets.get(ALL.size()) - 1] = ' ';
+        Files.write(file, content);
+        assertTrue(assertRejected().contains(" damaged in line " + ALL.size() + ","));
     }
 
     @Test
-    void aBlockOfZerosBehindItIsCutOff() throws IOException {
-        written(ALL);
-        byte[] all = Files.readAllBytes(file);
-        write(all, new byte[4096]);
+    void cutsOffTrailingZeros() throws IOException {
+        writeJournal(ALL);
+        byte[] content = Files.readAllBytes(file);
+        write(content, new byte[4096]);
         assertEquals(ALL, readAndAppend(NEXT));
         assertEquals(ALL.size() + 1, read().size());
     }
 
     @Test
-    void aNewerVersionIsRefused() throws IOException {
+    void rejectsNewerVersion() throws IOException {
         write(line("{\"journal\":2}"), line("{\"wanted\":\"n0\",\"running\":true}"));
-        String why = refused();
-        assertTrue(why.contains("of version 2, written by a newer agent; this one reads 1"), why);
+        String message = assertRejected();
+        assertTrue(message.contains("of version 2, written by a newer agent; this one reads 1"), message);
     }
 
     @Test
-    void whatIsNoJournalIsRefusedAndLeftAsItIs() throws IOException {
+    void rejectsFileThatIsNoJournalAndLeavesItUnchanged() throws IOException {
         write(line("{\"wanted\":\"n0\",\"running\":true}"));
-        assertTrue(refused().endsWith(" is no journal"));
+        assertTrue(assertRejected().endsWith(" is no journal"));
         write(line("{\"journal\":\"1\"}"));
-        assertTrue(refused().endsWith(" is no journal"));
+        assertTrue(assertRejected().endsWith(" is no journal"));
         Files.writeString(file, "the notes of a week, kept here by mistake\nand a second line\n");
-        assertTrue(refused().contains(" is no journal"));
+        assertTrue(assertRejected().contains(" is no journal"));
         Files.writeString(file, "x".repeat(100));
-        assertTrue(refused().contains(" is no journal"));
+        assertTrue(assertRejected().contains(" is no journal"));
     }
 
     @Test
-    void anEmptyFileAndNoneAtAllBeginAnew() throws IOException {
+    void createsJournalFromMissingOrEmptyFile() throws IOException {
         assertEquals(List.of(), read());
         assertEquals(List.of(), read());
         assertEquals("{\"journal\":1}", Files.readString(file).strip().split(" ", 2)[1]);
@@ -226,7 +228,7 @@
     }
 
     @Test
-    void anEntryThatIsNotKnownOrNotWholeIsRefusedWithItsLine() throws IOException {
+    void rejectsUnknownOrIncompleteRecordWithItsLine() throws IOException {
         for (String json : List.of(
                 "{}",
                 "{\"paused\":\"n0\"}",
@@ -239,14 +241,14 @@
                 "{\"roll\":1,\"names\":[1],\"mostDown\":1}",
                 "{\"rollTaken\":1,\"name\":2,\"start\":1}")) {
             write(line("{\"journal\":1}"), line("{\"wanted\":\"n0\",\"running\":true}"), line(json));
-            String why = refused();
-            assertTrue(why.contains(" has an entry in line 3 that is not known here"), why);
+            String message = assertRejected();
+            assertTrue(message.contains(" has an entry in line 3 that is not known here"), message);
         }
     }
 
     @Test
-    void compactedItHoldsTheSnapshotAndWhatCameAfter() throws IOException {
-        try (Journal journal = Journal.open(file, e -> {})) {
+    void holdsSnapshotAndLaterRecordsAfterCompaction() throws IOException {
+        try (Journal journal = Journal.open(file, journalRecord -> {})) {
             for (int i = 0; i < 100; i++) {
                 journal.append(new JournalRecord.DesiredStateSet("n" + i, true));
             }
@@ -264,29 +266,29 @@
     }
 
     @Test
-    void compactedItGoesOnWithTheNewFile() throws IOException {
-        List<JournalRecord> more = new ArrayList<>(ALL);
-        more.add(NEXT);
-        try (Journal journal = Journal.open(file, e -> {})) {
+    void appendsToTheNewFileAfterCompaction() throws IOException {
+        List<JournalRecord> moreRecords = new ArrayList<>(ALL);
+        moreRecords.add(NEXT);
+        try (Journal journal = Journal.open(file, journalRecord -> {})) {
             journal.append(NEXT);
             journal.compact(ALL);
-            assertEquals(ALL, read(), "whole before anything is appended");
+            assertEquals(ALL, read(), "complete before anything is appended");
         }
         readAndAppend(NEXT);
-        assertEquals(more, read());
+        assertEquals(moreRecords, read());
     }
 
     @Test
-    void anAgentThatDiedBeforeTheRenameLeftTheOldOne() throws IOException {
-        written(ALL);
-        byte[] all = Files.readAllBytes(file);
-        Path fresh = folder.resolve("journal.new");
-        for (int cut : new int[] {0, 5, all.length / 2, all.length}) {
-            Files.write(fresh, Arrays.copyOf(all, cut));
+    void keepsOldJournalIfTheAgentDiedBeforeTheRename() throws IOException {
+        writeJournal(ALL);
+        byte[] content = Files.readAllBytes(file);
+        Path newFile = folder.resolve("journal.new");
+        for (int length : new int[] {0, 5, content.length / 2, content.length}) {
+            Files.write(newFile, Arrays.copyOf(content, length));
             assertEquals(ALL, read());
         }
-        Files.write(fresh, new byte[1 << 16]); // longer than what comes
-        try (Journal journal = Journal.open(file, e -> {})) {
+        Files.write(newFile, new byte[1 << 16]); // longer than the new journal
+        try (Journal journal = Journal.open(file, journalRecord -> {})) {
             journal.compact(List.of(NEXT));
         }
         assertEquals(List.of(NEXT), read());
@@ -294,20 +296,20 @@
     }
 
     @Test
-    void aCompactionThatFailsLeavesTheOldOneInUse() throws IOException {
-        try (Journal journal = Journal.open(file, e -> {})) {
+    void keepsOldJournalInUseAfterFailedCompaction() throws IOException {
+        try (Journal journal = Journal.open(file, journalRecord -> {})) {
             journal.append(ALL.get(1));
-            Path fresh = Files.createDirectory(folder.resolve("journal.new"));
+            Path newFile = Files.createDirectory(folder.resolve("journal.new"));
             assertThrows(IOException.class, () -> journal.compact(List.of()));
             journal.append(NEXT);
-            Files.delete(fresh);
+            Files.delete(newFile);
         }
         assertEquals(List.of(ALL.get(1), NEXT), read());
     }
 
     @Test
-    void aWriteThatFailsLeavesItReadable() throws IOException {
-        Journal journal = Journal.open(file, e -> {});
+    void staysReadableAfterFailedWrite() throws IOException {
+        Journal journal = Journal.open(file, journalRecord -> {});
         journal.append(NEXT);
         journal.close();
         assertThrows(ClosedChannelException.class, () -> journal.append(ALL.get(0)));
@@ -318,22 +320,22 @@
     }
 
     @Test
-    void anInterruptedWriteDoesNotCountAndLeavesItReadable() throws IOException {
-        try (Journal journal = Journal.open(file, e -> {})) {
+    void staysReadableAfterInterruptedWrite() throws IOException {
+        try (Journal journal = Journal.open(file, journalRecord -> {})) {
             journal.append(NEXT);
-            Thread.currentThread().interrupt(); // closes the channel under the write
+            Thread.currentThread().interrupt(); // closes the channel during the write
             assertThrows(IOException.class, () -> journal.append(ALL.get(0)));
             assertTrue(Thread.interrupted());
             assertEquals(2, journal.lines());
         }
-        List<JournalRecord> read = read();
-        assertEquals(NEXT, read.get(0));
-        assertTrue(read.size() == 1 || read.get(1).equals(ALL.get(0)), "whole or not at all");
+        List<JournalRecord> records = read();
+        assertEquals(NEXT, records.get(0));
+        assertTrue(records.size() == 1 || records.get(1).equals(ALL.get(0)), "the record is complete or absent");
     }
 
     @Test
-    void anEntryThatIsTooLongIsRefusedAndHalfACharacterIsKept() throws IOException {
-        try (Journal journal = Journal.open(file, e -> {})) {
+    void rejectsOverlongRecordAndKeepsUnpairedSurrogate() throws IOException {
+        try (Journal journal = Journal.open(file, journalRecord -> {})) {
             journal.append(NEXT);
             assertThrows(IOException.class, () -> journal.append(new JournalRecord.SiteDeclared("x".repeat(4 << 20))));
             journal.append(new JournalRecord.SiteDeclared("half a pair: \ud800"));
--- a/fleet/src/test/java/cacheproxy/agent/ListMeasurement.java
+++ b/fleet/src/test/java/cacheproxy/agent/ListMeasurement.java
@@ -13,22 +13,22 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Measures {@code list} and {@code status} of 20 real instances and of many stand-in ones, by the agent and by the tool
- * with its own start; and how long real ones take one after the other. By hand, once the jar is built:
- * {@code ListMeasurement [REAL [STAND-INS [OPTION OF THE AGENT'S JVM ...]]]}.
+ * Measures {@code list} and {@code status} for 20 real instances and for many stand-ins, both by direct calls to the
+ * agent and through the command line tool including its start, and the time to start real instances one by one. Run by
+ * hand, once the jar is built: {@code ListMeasurement [REAL [STAND-INS [OPTION OF THE AGENT'S JVM ...]]]}.
  *
- * <p>Real in all of it: the agent, a process with its usual policy, journal, sockets and probes; the tool, through
- * bin/cacheproxyctl; an instance as a process and session of its own, that proves itself by its secret, has its
- * configuration's digest, and greets on TCP. Not real of the many: the program. In place of a JVM each is a small
- * script, which the agent finds in place of setsid(1), and its status is the one that a real instance told under this
- * agent, with its own name, pid and digest. So what the many would need of the machine themselves is not measured, nor
- * how fast that many JVMs begin.
+ * <p>Real in both cases are the agent, a process with its default policy, journal, sockets and health checks; the tool,
+ * run through bin/cacheproxyctl; and each instance as a process in its own session that proves its identity by its
+ * secret, has a configuration digest and answers a client greeting on TCP. Only the program of the stand-ins is not
+ * real: instead of a JVM each runs a small script, which the agent finds in place of setsid(1). It reports the status
+ * of a real instance under this agent, with its own name, pid and digest. The resources that as many JVMs would need,
+ * and their start time, are therefore not measured.
  */
 final class ListMeasurement {
     private static final int CALLS = 300;
     private static final int TOOL_CALLS = 60;
-    private static final int EARLY = 20;
-    private static final long BETWEEN_MS = 10;
+    private static final int WARM_UP_CALLS = 20;
+    private static final long CALL_INTERVAL_MS = 10;
     private static final String SCRIPT = """
         #!/usr/bin/python3 -IS
         import hashlib, hmac, json, os, selectors, socket, sys
@@ -86,131 +86,136 @@
     private ListMeasurement() {}
 
     public static void main(String[] args) throws Exception {
-        int real = args.length > 0 ? Integer.parseInt(args[0]) : 20;
-        int many = args.length > 1 ? Integer.parseInt(args[1]) : 500;
+        int realInstances = args.length > 0 ? Integer.parseInt(args[0]) : 20;
+        int standInInstances = args.length > 1 ? Integer.parseInt(args[1]) : 500;
         String[] options = args.length > 2 ? Arrays.copyOfRange(args, 2, args.length) : new String[0];
-        Map<String, Object> told;
-        try (AgentRig rig = new AgentRig(real)) {
-            rig.policy = "\"killAfterMs\":-1"; // as usual
-            rig.up(options);
-            ready(rig, real + " real");
-            told = told(rig);
-            asked(rig);
-            oneByOne(rig);
+        Map<String, Object> reportedStatus;
+        try (AgentRig rig = new AgentRig(realInstances)) {
+            rig.policy = "\"killAfterMs\":-1"; // the default policy
+            rig.startAndAwait(options);
+            applyAndAwaitReady(rig, realInstances + " real");
+            reportedStatus = reportedStatus(rig);
+            measureListAndStatus(rig);
+            startOneByOne(rig);
         }
-        try (AgentRig rig = new AgentRig(many)) {
-            standIns(rig, told, options);
-            ready(rig, many + " stand-ins");
-            asked(rig);
+        try (AgentRig rig = new AgentRig(standInInstances)) {
+            startStandIns(rig, reportedStatus, options);
+            applyAndAwaitReady(rig, standInInstances + " stand-ins");
+            measureListAndStatus(rig);
         }
     }
 
-    /** An agent whose starts are all of the script. */
-    private static void standIns(AgentRig rig, Map<String, Object> told, String... options) throws Exception {
-        rig.running.close(); // it would look through so many processes all the time
+    /** Starts an agent whose instances all run the script. */
+    private static void startStandIns(AgentRig rig, Map<String, Object> reportedStatus, String... options)
+            throws Exception {
+        rig.observer.close(); // it would scan this many processes continuously
         rig.policy = "\"killAfterMs\":-1";
         Path bin = Files.createDirectory(rig.folder.resolve("bin"));
-        Files.writeString(bin.resolve("told.json"), ControlCodec.encode(told));
+        Files.writeString(bin.resolve("told.json"), ControlCodec.encode(reportedStatus));
         Path script = Files.writeString(bin.resolve("setsid"), SCRIPT);
         Files.setPosixFilePermissions(script, PosixFilePermissions.fromString("rwx------"));
-        rig.begin("export PATH=" + bin + ":$PATH", options);
-        rig.answers();
+        rig.startAgent("export PATH=" + bin + ":$PATH", options);
+        rig.awaitAnswer();
     }
 
-    private static void ready(AgentRig rig, String what) throws Exception {
-        long since = System.nanoTime();
-        rig.done("apply", "site", rig.site());
-        rig.until("all to be ready", () -> rig.all("ready"));
+    private static void applyAndAwaitReady(AgentRig rig, String what) throws Exception {
+        long startNs = System.nanoTime();
+        rig.callOk("apply", "site", rig.site());
+        rig.await("all to be ready", () -> rig.allInState("ready"));
         System.out.printf(
-                "%s: ready at once after %d ms%n", what, TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - since));
+                "%s: ready at once after %d ms%n", what, TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - startNs));
         Thread.sleep(3_000);
     }
 
-    @SuppressWarnings("unchecked") // a reply's objects have names for keys
-    private static Map<String, Object> told(AgentRig rig) throws IOException {
-        List<?> one = (List<?>) rig.done("status", "names", List.of("p0")).get("instances");
-        Map<String, Object> told = (Map<String, Object>) ((Map<?, ?>) one.get(0)).get("told");
-        System.out.println("one tells of itself " + ControlCodec.encode(told).length() + " bytes");
-        return told;
+    @SuppressWarnings("unchecked") // JSON objects in a reply have strings as keys
+    private static Map<String, Object> reportedStatus(AgentRig rig) throws IOException {
+        List<?> instances = (List<?>) rig.callOk("status", "names", List.of("p0")).get("instances");
+        Map<String, Object> reportedStatus = (Map<String, Object>) ((Map<?, ?>) instances.get(0)).get("told");
+        System.out.println("one tells of itself " + ControlCodec.encode(reportedStatus).length() + " bytes");
+        return reportedStatus;
     }
 
     // ---- list and status ----
 
-    private static void asked(AgentRig rig) throws Exception {
+    private static void measureListAndStatus(AgentRig rig) throws Exception {
         AgentMeasurement.idle(rig);
-        AgentMeasurement.idle(rig); // what is compiled by then costs less
+        AgentMeasurement.idle(rig); // cheaper, since code is JIT-compiled by now
         for (String op : List.of("list", "status")) {
             Object[] fields = op.equals("list") ? new Object[0] : new Object[] {"names", List.of()};
-            int bytes = ControlCodec.encode(rig.done(op, fields)).length();
-            for (int i = 0; i < EARLY; i++) {
-                rig.done(op, fields);
+            int bytes = ControlCodec.encode(rig.callOk(op, fields)).length();
+            for (int i = 0; i < WARM_UP_CALLS; i++) {
+                rig.callOk(op, fields);
             }
-            times(op + " by the agent, " + bytes + " bytes", CALLS, () -> rig.done(op, fields));
+            measure(op + " by the agent, " + bytes + " bytes", CALLS, () -> rig.callOk(op, fields));
         }
         for (String op : List.of("list", "status")) {
-            times(op + " by the tool", TOOL_CALLS, () -> tool(rig, op));
+            measure(op + " by the tool", TOOL_CALLS, () -> runTool(rig, op));
         }
         System.out.println("the agent after that: " + AgentMeasurement.rssKb(rig.agent.pid()) + " kB");
     }
 
-    private static void times(String what, int calls, Callable<?> call) throws Exception {
-        double[] ms = new double[calls];
+    private static void measure(String what, int calls, Callable<?> call) throws Exception {
+        double[] durationsMs = new double[calls];
         for (int i = 0; i < calls; i++) {
-            long since = System.nanoTime();
+            long startNs = System.nanoTime();
             call.call();
-            ms[i] = (System.nanoTime() - since) / 1e6;
-            Thread.sleep(BETWEEN_MS);
+            durationsMs[i] = (System.nanoTime() - startNs) / 1e6;
+            Thread.sleep(CALL_INTERVAL_MS);
         }
-        Arrays.sort(ms);
+        Arrays.sort(durationsMs);
         System.out.printf(
                 "%s: p50 %.1f ms, p99 %.1f ms, most %.1f ms of %d%n",
-                what, ms[calls / 2], ms[(int) Math.ceil(calls * 0.99) - 1], ms[calls - 1], calls);
+                what,
+                durationsMs[calls / 2],
+                durationsMs[(int) Math.ceil(calls * 0.99) - 1],
+                durationsMs[calls - 1],
+                calls);
     }
 
-    private static int tool(AgentRig rig, String... words) throws Exception {
+    private static int runTool(AgentRig rig, String... arguments) throws Exception {
         List<String> command =
                 new ArrayList<>(List.of(Path.of("bin", "cacheproxyctl").toString()));
-        command.addAll(List.of(words));
+        command.addAll(List.of(arguments));
         command.addAll(List.of("--agent", rig.folder.toString()));
-        ProcessBuilder b = new ProcessBuilder(command);
-        b.environment().put("XDG_CACHE_HOME", rig.folder.toString());
-        Path said = rig.folder.resolve("tool.out");
-        int code = b.redirectErrorStream(true)
-                .redirectOutput(said.toFile())
+        ProcessBuilder builder = new ProcessBuilder(command);
+        builder.environment().put("XDG_CACHE_HOME", rig.folder.toString());
+        Path output = rig.folder.resolve("tool.out");
+        int code = builder.redirectErrorStream(true)
+                .redirectOutput(output.toFile())
                 .start()
                 .waitFor();
         if (code != 0) {
-            throw new AssertionError(command + " ended with " + code + ": " + Files.readString(said));
+            throw new AssertionError(command + " ended with " + code + ": " + Files.readString(output));
         }
         return code;
     }
 
-    // ---- one after the other ----
+    // ---- starts one by one ----
 
-    private static void stopped(AgentRig rig) throws Exception {
-        rig.done("stop", "names", List.of());
-        rig.until("all to be stopped", () -> rig.all("stopped"));
+    private static void stopAll(AgentRig rig) throws Exception {
+        rig.callOk("stop", "names", List.of());
+        rig.await("all to be stopped", () -> rig.allInState("stopped"));
     }
 
-    private static void oneByOne(AgentRig rig) throws Exception {
+    private static void startOneByOne(AgentRig rig) throws Exception {
         int count = rig.ports.length;
-        stopped(rig);
-        long since = System.nanoTime();
+        stopAll(rig);
+        long startNs = System.nanoTime();
         for (int i = 0; i < count; i++) {
             String name = "p" + i;
-            rig.done("start", "names", List.of(name));
-            rig.until("it to be ready", () -> rig.in("ready", name));
+            rig.callOk("start", "names", List.of(name));
+            rig.await("the instance to be ready", () -> rig.isInState("ready", name));
         }
         System.out.printf(
                 "%d ready one by one after %d ms by the agent%n",
-                count, TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - since));
-        stopped(rig);
-        since = System.nanoTime();
+                count, TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - startNs));
+        stopAll(rig);
+        startNs = System.nanoTime();
         for (int i = 0; i < count; i++) {
-            tool(rig, "start", "p" + i);
+            runTool(rig, "start", "p" + i);
         }
         System.out.printf(
                 "%d ready one by one after %d ms by the tool%n",
-                count, TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - since));
+                count, TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - startNs));
     }
 }
--- a/fleet/src/test/java/cacheproxy/agent/LogRotationTest.java
+++ b/fleet/src/test/java/cacheproxy/agent/LogRotationTest.java
@@ -21,7 +21,7 @@
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
 
-/** Log files within bounds, while their writers know nothing of it. */
+/** Rotation of log files that other processes keep open for appending. */
 @Timeout(60)
 class LogRotationTest {
     @TempDir
@@ -40,13 +40,13 @@
         }
     }
 
-    private String older(int i) throws IOException {
+    private String rotated(int i) throws IOException {
         return Files.readString(LogRotation.numbered(file, i));
     }
 
     @Test
-    void oneWithinItsBoundIsLeftAlone() throws IOException {
-        assertFalse(LogRotation.rotate(file, 3), "none there");
+    void leavesFileWithinItsBoundUnchanged() throws IOException {
+        assertFalse(LogRotation.rotate(file, 3), "no such file");
         assertEquals(Set.of(), names());
         Files.writeString(file, "abc");
         assertFalse(LogRotation.rotate(file, 3));
@@ -55,46 +55,46 @@
     }
 
     @Test
-    void theLastThreeAreKeptInOrder() throws IOException {
+    void keepsLastThreeRotatedFilesInOrder() throws IOException {
         for (int i = 1; i <= 6; i++) {
             Files.writeString(file, "old" + i);
             assertTrue(LogRotation.rotate(file, 3));
             assertEquals(0, Files.size(file));
-            assertEquals("old" + i, older(1));
+            assertEquals("old" + i, rotated(1));
         }
         assertEquals(Set.of("n0.log", "n0.log.1", "n0.log.2", "n0.log.3"), names());
-        assertEquals(List.of("old6", "old5", "old4"), List.of(older(1), older(2), older(3)));
+        assertEquals(List.of("old6", "old5", "old4"), List.of(rotated(1), rotated(2), rotated(3)));
         assertEquals(3, LogRotation.MAX_ROTATED_FILES);
     }
 
     @Test
-    void aWriterGoesOnAtTheBeginningOfTheSameFile() throws IOException {
+    void letsWriterContinueAtTheBeginningOfTheSameFile() throws IOException {
         try (OutputStream out = new FileOutputStream(file.toFile(), true)) {
             out.write("before".getBytes(StandardCharsets.UTF_8));
             LogRotation.rotate(file, 3);
             out.write("after".getBytes(StandardCharsets.UTF_8));
         }
-        assertEquals("before", older(1));
-        assertEquals("after", Files.readString(file), "no hole before it");
+        assertEquals("before", rotated(1));
+        assertEquals("after", Files.readString(file), "no gap at the beginning of the file");
     }
 
     @Test
-    void oneThatCannotBeCopiedIsNotCut() throws IOException {
+    void doesNotTruncateFileThatCannotBeCopied() throws IOException {
         Files.writeString(file, "all of it");
-        Path taken = Files.createDirectories(LogRotation.numbered(file, 3).resolve("full"));
+        Path obstacle = Files.createDirectories(LogRotation.numbered(file, 3).resolve("full"));
         Files.writeString(LogRotation.numbered(file, 2), "older");
         try {
             LogRotation.rotate(file, 3);
         } catch (IOException e) {
-            assertTrue(Files.exists(taken));
+            assertTrue(Files.exists(obstacle));
         }
         assertEquals("all of it", Files.readString(file));
-        assertEquals("older", older(2));
+        assertEquals("older", rotated(2));
     }
 
-    /** Nothing is lost but what falls between copy and cut: one gap at most for each, and in order. */
+    /** Lines may be lost only between copy and truncation: at most one gap for each rotation, and in order. */
     @Test
-    void whileAWriterAppendsNothingIsLostButBetweenCopyAndCut() throws Exception {
+    void losesLinesOfAConcurrentWriterOnlyBetweenCopyAndTruncation() throws Exception {
         AtomicReference<Throwable> fault = new AtomicReference<>();
         int lines = 40_000;
         Thread writer = new Thread(
@@ -109,35 +109,36 @@
                 },
                 "writer");
         writer.start();
-        List<String> parts = new ArrayList<>(); // each as it was put away
-        long least = 64 << 10;
+        List<String> parts = new ArrayList<>(); // the content of each rotated file
+        long maxBytes = 64 << 10;
         while (writer.isAlive()) {
-            if (LogRotation.rotate(file, least)) {
-                parts.add(older(1));
-                assertTrue(Files.size(LogRotation.numbered(file, 1)) > least);
+            if (LogRotation.rotate(file, maxBytes)) {
+                parts.add(rotated(1));
+                assertTrue(Files.size(LogRotation.numbered(file, 1)) > maxBytes);
             }
         }
         writer.join();
         assertEquals(null, fault.get());
         parts.add(Files.readString(file));
         assertTrue(parts.size() > 1, "rotated at least once");
-        int next = 0;
+        int nextNumber = 0;
         for (String part : parts) {
             List<Integer> numbers = new ArrayList<>();
             for (String line : part.split("\n")) {
                 if (line.matches("line [0-9]{7}")) {
                     numbers.add(Integer.parseInt(line.substring(5)));
                 } else {
-                    assertTrue(part.endsWith(line), "half a line within: " + line);
+                    assertTrue(part.endsWith(line), "incomplete line inside a file: " + line);
                 }
             }
             for (int i = 0; i < numbers.size(); i++) {
                 assertTrue(
-                        i == 0 ? numbers.get(0) >= next : numbers.get(i) == next, "at " + next + ": " + numbers.get(i));
-                next = numbers.get(i) + 1;
+                        i == 0 ? numbers.get(0) >= nextNumber : numbers.get(i) == nextNumber,
+                        "at " + nextNumber + ": " + numbers.get(i));
+                nextNumber = numbers.get(i) + 1;
             }
         }
-        assertEquals(lines, next, "the last line is there");
+        assertEquals(lines, nextNumber, "the last line is there");
         assertTrue(names().size() <= 1 + LogRotation.MAX_ROTATED_FILES, names().toString());
     }
 }
--- a/fleet/src/test/java/cacheproxy/agent/ProcFsTest.java
+++ b/fleet/src/test/java/cacheproxy/agent/ProcFsTest.java
@@ -21,8 +21,8 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /**
- * Who a process is, from the real /proc and from folders like it. Danger: another's pid is taken for an instance, which
- * a stop then ends.
+ * Identifies processes in the real /proc and in folders laid out like it. Guards against an unrelated process being
+ * taken for an instance, which a stop command would then terminate.
  */
 @Timeout(60)
 class ProcFsTest {
@@ -32,41 +32,42 @@
     Path proc;
 
     @BeforeEach
-    void boot() throws IOException {
+    void writeBootId() throws IOException {
         Files.createDirectories(proc.resolve("sys/kernel/random"));
-        boot("one");
+        writeBootId("one");
     }
 
-    private void boot(String id) throws IOException {
+    private void writeBootId(String id) throws IOException {
         Files.writeString(proc.resolve("sys/kernel/random/boot_id"), id + "\n");
     }
 
-    // ---- a /proc that is not ours ----
+    // ---- unusable proc file systems ----
 
     @Test
-    void aProcThatDoesNotShowThisProcessIsRefused() throws IOException {
+    void rejectsProcFileSystemThatDoesNotShowThisProcess() throws IOException {
         long self = ProcessHandle.current().pid();
         new ProcFs(REAL).requireOwnProcessVisible(self);
-        refused(self); // nothing is there
-        Files.createSymbolicLink(proc.resolve("self"), Path.of("7")); // as from another pid namespace
-        process(7, "java", "S", 1);
-        process(self, "stranger", "S", 1);
-        refused(self);
+        assertRejected(self); // the folder is empty
+        Files.createSymbolicLink(proc.resolve("self"), Path.of("7")); // as in another pid namespace
+        writeProcess(7, "java", "S", 1);
+        writeProcess(self, "stranger", "S", 1);
+        assertRejected(self);
         Files.delete(proc.resolve("self"));
         Files.createSymbolicLink(proc.resolve("self"), Path.of(Long.toString(self)));
         new ProcFs(proc).requireOwnProcessVisible(self);
-        Files.delete(proc.resolve("sys/kernel/random/boot_id")); // another boot could not be told from this
-        refused(self);
+        // without the boot id, processes of an earlier boot could not be recognised
+        Files.delete(proc.resolve("sys/kernel/random/boot_id"));
+        assertRejected(self);
     }
 
-    private void refused(long pid) {
-        String why = assertThrows(InvalidInputException.class, () -> new ProcFs(proc).requireOwnProcessVisible(pid))
+    private void assertRejected(long pid) {
+        String message = assertThrows(InvalidInputException.class, () -> new ProcFs(proc).requireOwnProcessVisible(pid))
                 .getMessage();
-        assertTrue(why.contains("does not show this process (pid " + pid + ")"), why);
+        assertTrue(message.contains("does not show this process (pid " + pid + ")"), message);
     }
 
-    /** As proc(5) has it: 52 fields, of which the 22nd is the start. */
-    private void process(long pid, String name, String state, long ticks) throws IOException {
+    /** Writes a stat file as described in proc(5): 52 fields, of which the 22nd is the start time. */
+    private void writeProcess(long pid, String name, String state, long ticks) throws IOException {
         StringBuilder stat = new StringBuilder(pid + " (" + name + ") " + state);
         for (int field = 4; field <= 52; field++) {
             stat.append(' ').append(field == 22 ? Long.toString(ticks) : "9" + field);
@@ -75,19 +76,19 @@
         Files.write(folder.resolve("stat"), (stat + "\n").getBytes(StandardCharsets.ISO_8859_1));
     }
 
-    private void environment(long pid, String environ) throws IOException {
+    private void writeEnvironment(long pid, String environ) throws IOException {
         Files.writeString(proc.resolve(Long.toString(pid)).resolve("environ"), environ);
     }
 
     @Test
-    void thisProcessIsItselfAndAlive() throws IOException {
+    void identifiesThisProcessAsAlive() throws IOException {
         ProcFs real = new ProcFs(REAL);
         long pid = ProcessHandle.current().pid();
         UniqueProcessId self = real.identity(pid);
         assertEquals(pid, self.pid());
         assertEquals(Files.readString(REAL.resolve("sys/kernel/random/boot_id")).strip(), self.bootId());
         assertTrue(self.startTicks() > 0);
-        assertEquals(self, new ProcFs(REAL).identity(pid), "the same at each look");
+        assertEquals(self, new ProcFs(REAL).identity(pid), "the same on each call");
         assertTrue(real.isAlive(self));
         assertFalse(real.isStopped(pid));
         assertFalse(real.isAlive(new UniqueProcessId(pid, self.startTicks() + 1, self.bootId())));
@@ -96,22 +97,22 @@
     }
 
     @Test
-    void aRealProcessIsFoundByItsEnvironmentAndGoneWhenItIsAZombie() throws Exception {
+    void findsProcessByItsEnvironmentAndIgnoresZombies() throws Exception {
         ProcFs real = new ProcFs(REAL);
         String startVariable = "LB_START=n0/1/" + ProcessHandle.current().pid() + "/" + System.nanoTime();
-        // its child ends once its parent has become a cat, which waits for nobody: ended before, the shell reaps it
-        ProcessBuilder b = new ProcessBuilder(
+        // the child exits only once its parent has become cat, which never waits for it; the shell would reap it
+        ProcessBuilder builder = new ProcessBuilder(
                 "sh", "-c", "(until [ \"$c\" = cat ]; do read c < /proc/$$/comm; done) & echo $!; exec cat");
-        b.environment().put("LB_START", startVariable.substring(startVariable.indexOf('=') + 1));
-        Process parent = b.start();
+        builder.environment().put("LB_START", startVariable.substring(startVariable.indexOf('=') + 1));
+        Process parent = builder.start();
         try {
             long child = Long.parseLong(parent.inputReader().readLine());
-            long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(20);
-            while (real.identity(child) != null && System.nanoTime() < end) {
+            long deadlineNs = System.nanoTime() + TimeUnit.SECONDS.toNanos(20);
+            while (real.identity(child) != null && System.nanoTime() < deadlineNs) {
                 Thread.onSpinWait();
             }
-            assertNull(real.identity(child), "a zombie is gone");
-            assertTrue(Files.exists(REAL.resolve(Long.toString(child))), "and yet there");
+            assertNull(real.identity(child), "a zombie counts as ended");
+            assertTrue(Files.exists(REAL.resolve(Long.toString(child))), "it is still listed");
             UniqueProcessId found = real.findByEnvironmentVariable(startVariable);
             assertNotNull(found);
             assertEquals(parent.pid(), found.pid());
@@ -120,11 +121,11 @@
 
             Process kill = new ProcessBuilder("kill", "-STOP", Long.toString(found.pid())).start();
             assertEquals(0, kill.waitFor());
-            while (!real.isStopped(found.pid()) && System.nanoTime() < end) {
+            while (!real.isStopped(found.pid()) && System.nanoTime() < deadlineNs) {
                 Thread.onSpinWait();
             }
             assertTrue(real.isStopped(found.pid()));
-            assertTrue(real.isAlive(found), "stopped, and there");
+            assertTrue(real.isAlive(found), "stopped but alive");
             parent.destroyForcibly().waitFor();
             assertFalse(real.isAlive(found));
             assertNull(real.findByEnvironmentVariable(startVariable));
@@ -134,29 +135,29 @@
     }
 
     @Test
-    void aPidThatIsUsedAgainIsAnother() throws IOException {
-        process(7, "java", "S", 1000);
+    void distinguishesProcessesWithTheSamePid() throws IOException {
+        writeProcess(7, "java", "S", 1000);
         ProcFs procFs = new ProcFs(proc);
         UniqueProcessId first = procFs.identity(7);
         assertEquals(new UniqueProcessId(7, 1000, "one"), first);
         assertTrue(procFs.isAlive(first));
-        process(7, "java", "S", 1001);
+        writeProcess(7, "java", "S", 1001);
         assertFalse(procFs.isAlive(first));
-        process(7, "java", "S", 1000);
-        boot("two");
-        assertFalse(new ProcFs(proc).isAlive(first), "the same ticks after another start of the machine");
+        writeProcess(7, "java", "S", 1000);
+        writeBootId("two");
+        assertFalse(new ProcFs(proc).isAlive(first), "the same start time after a reboot");
     }
 
     @Test
-    void theStateTellsWhoIsThere() throws IOException {
+    void derivesAliveAndStoppedFromTheProcessState() throws IOException {
         ProcFs procFs = new ProcFs(proc);
         for (String state : new String[] {"R", "S", "D", "T", "t", "I"}) {
-            process(7, "java", state, 5);
+            writeProcess(7, "java", state, 5);
             assertNotNull(procFs.identity(7), state);
             assertEquals(state.equalsIgnoreCase("T"), procFs.isStopped(7), state);
         }
         for (String state : new String[] {"Z", "X"}) {
-            process(7, "java", state, 5);
+            writeProcess(7, "java", state, 5);
             assertNull(procFs.identity(7), state);
             assertFalse(procFs.isAlive(new UniqueProcessId(7, 5, "one")), state);
         }
@@ -165,17 +166,17 @@
     }
 
     @Test
-    void aNameMayHoldAnything() throws IOException {
+    void parsesStatWithAnyProgramName() throws IOException {
         ProcFs procFs = new ProcFs(proc);
         for (String name : List.of("a b", "a) Z 1 1", ")", "((", ") T 0 0 (", "x\ny", "", "\u00ff\u00fe")) {
-            process(7, name, "S", 1234);
+            writeProcess(7, name, "S", 1234);
             assertEquals(new UniqueProcessId(7, 1234, "one"), procFs.identity(7), name);
             assertFalse(procFs.isStopped(7), name);
         }
     }
 
     @Test
-    void aStatThatCannotBeReadIsNobody() throws IOException {
+    void returnsNullForMalformedStat() throws IOException {
         ProcFs procFs = new ProcFs(proc);
         for (String stat : List.of("", "7", "7 (java)", "7 (java) S 1 1", "7 (java) S" + " x".repeat(49))) {
             Files.createDirectories(proc.resolve("7"));
@@ -185,39 +186,39 @@
     }
 
     @Test
-    void theEnvironmentIsSearchedForAWholeVariable() throws IOException {
+    void matchesOnlyWholeEnvironmentVariables() throws IOException {
         ProcFs procFs = new ProcFs(proc);
         for (int pid = 1; pid <= 9; pid++) {
-            process(pid, "java", "S", pid);
+            writeProcess(pid, "java", "S", pid);
         }
-        environment(1, "A=1\0XLB=n/1\0");
-        environment(2, "LB=n/10\0");
-        environment(3, "A=LB=n/1\0");
-        environment(4, "");
-        environment(5, "LB=n/1"); // its end is not there
-        environment(6, "lb=n/1\0");
-        // 7 has none that may be read
+        writeEnvironment(1, "A=1\0XLB=n/1\0");
+        writeEnvironment(2, "LB=n/10\0");
+        writeEnvironment(3, "A=LB=n/1\0");
+        writeEnvironment(4, "");
+        writeEnvironment(5, "LB=n/1"); // the terminating NUL is missing
+        writeEnvironment(6, "lb=n/1\0");
+        // process 7 has no readable environment
         assertNull(procFs.findByEnvironmentVariable("LB=n/1"));
-        environment(8, "A=1\0LB=n/1\0B=2\0");
+        writeEnvironment(8, "A=1\0LB=n/1\0B=2\0");
         assertEquals(8, procFs.findByEnvironmentVariable("LB=n/1").pid());
-        environment(8, "LB=n/1\0");
+        writeEnvironment(8, "LB=n/1\0");
         assertEquals(new UniqueProcessId(8, 8, "one"), procFs.findByEnvironmentVariable("LB=n/1"));
         Files.createDirectories(proc.resolve("1a"));
         Files.writeString(proc.resolve("1a").resolve("environ"), "LB=n/1\0");
-        assertEquals(8, procFs.findByEnvironmentVariable("LB=n/1").pid(), "no process");
-        process(8, "java", "Z", 8);
-        assertNull(procFs.findByEnvironmentVariable("LB=n/1"), "what is left of one is not it");
-        process(9, "java", "S", 9);
-        environment(9, "LB=n/1\0");
+        assertEquals(8, procFs.findByEnvironmentVariable("LB=n/1").pid(), "1a is not a pid");
+        writeProcess(8, "java", "Z", 8);
+        assertNull(procFs.findByEnvironmentVariable("LB=n/1"), "a zombie is not found");
+        writeProcess(9, "java", "S", 9);
+        writeEnvironment(9, "LB=n/1\0");
         assertEquals(9, procFs.findByEnvironmentVariable("LB=n/1").pid());
     }
 
     @Test
-    void withoutAnyProcNobodyIsKnown() {
-        ProcFs none = new ProcFs(proc.resolve("none"));
-        assertNull(none.identity(ProcessHandle.current().pid()));
-        assertFalse(none.isStopped(1));
-        assertFalse(none.isAlive(new UniqueProcessId(1, 1, "unknown")));
-        assertNull(none.findByEnvironmentVariable("LB=n/1"));
+    void findsNothingWithoutAProcFileSystem() {
+        ProcFs missing = new ProcFs(proc.resolve("none"));
+        assertNull(missing.identity(ProcessHandle.current().pid()));
+        assertFalse(missing.isStopped(1));
+        assertFalse(missing.isAlive(new UniqueProcessId(1, 1, "unknown")));
+        assertNull(missing.findByEnvironmentVariable("LB=n/1"));
     }
 }
--- a/fleet/src/test/java/cacheproxy/agent/ProcessObserver.java
+++ b/fleet/src/test/java/cacheproxy/agent/ProcessObserver.java
@@ -14,89 +14,90 @@
 import java.util.TreeSet;
 
 /**
- * Which instances of a site run, by what the kernel tells of their environment: the agent is not asked. A thread looks
- * every few milliseconds and remembers each pid of each name, and where two lived at once.
+ * Observes the processes of a site independently of the agent, by their environment in /proc. A thread scans every few
+ * milliseconds and records each pid of each instance, and any two processes of one instance at the same time.
  */
 final class ProcessObserver implements AutoCloseable {
-    private static final long LOOK_MS = 15;
-    /** A child has its parent's environment until it becomes what it is to be. */
-    private static final long SETTLED_NS = 3_000_000_000L;
+    private static final long SCAN_INTERVAL_MS = 15;
+    /** Until exec, a child process shows its parent's environment, so new pids are read again for this long. */
+    private static final long ENVIRONMENT_SETTLED_NS = 3_000_000_000L;
 
-    private static final String PLACE = "LB_CONTROL=";
+    private static final String CONTROL_VARIABLE = "LB_CONTROL=";
 
-    private final String run;
-    private final Map<Long, Long> others = new HashMap<>();
-    private final Map<Long, String> ours = new HashMap<>();
-    private final Map<String, Set<Long>> seen = new TreeMap<>();
-    private final List<String> twice = new ArrayList<>();
+    private final String socketPrefix;
+    private final Map<Long, Long> firstSeenNs = new HashMap<>();
+    private final Map<Long, String> instanceNames = new HashMap<>();
+    private final Map<String, Set<Long>> observedPids = new TreeMap<>();
+    private final List<String> simultaneousProcesses = new ArrayList<>();
     private final Thread thread;
-    private volatile boolean ends;
+    private volatile boolean closed;
 
     ProcessObserver(Path folder) {
-        run = PLACE + folder.resolve("run") + "/";
-        thread = new Thread(this::looks, "running");
+        socketPrefix = CONTROL_VARIABLE + folder.resolve("run") + "/";
+        thread = new Thread(this::scanRepeatedly, "running");
         thread.setDaemon(true);
         thread.start();
     }
 
-    private void looks() {
-        while (!ends) {
-            look();
+    private void scanRepeatedly() {
+        while (!closed) {
+            scan();
             try {
-                Thread.sleep(LOOK_MS);
+                Thread.sleep(SCAN_INTERVAL_MS);
             } catch (InterruptedException e) {
                 return;
             }
         }
     }
 
-    /** Name and pids of those that live now; a zombie does not. */
-    synchronized Map<String, Set<Long>> look() {
-        Map<String, Set<Long>> now = new TreeMap<>();
-        Set<Long> there = new TreeSet<>();
-        try (DirectoryStream<Path> all = Files.newDirectoryStream(Path.of("/proc"), "[0-9]*")) {
-            for (Path p : all) {
-                long pid = Long.parseLong(p.getFileName().toString());
-                there.add(pid);
-                String name = ours.get(pid);
+    /** The running processes by instance name; zombies are excluded. */
+    synchronized Map<String, Set<Long>> scan() {
+        Map<String, Set<Long>> running = new TreeMap<>();
+        Set<Long> existing = new TreeSet<>();
+        try (DirectoryStream<Path> processes = Files.newDirectoryStream(Path.of("/proc"), "[0-9]*")) {
+            for (Path directory : processes) {
+                long pid = Long.parseLong(directory.getFileName().toString());
+                existing.add(pid);
+                String name = instanceNames.get(pid);
                 if (name == null
-                        && System.nanoTime() - others.computeIfAbsent(pid, x -> System.nanoTime()) < SETTLED_NS) {
-                    name = name(p);
+                        && System.nanoTime() - firstSeenNs.computeIfAbsent(pid, x -> System.nanoTime())
+                                < ENVIRONMENT_SETTLED_NS) {
+                    name = name(directory);
                 }
-                if (name != null && lives(p)) {
-                    ours.put(pid, name);
-                    now.computeIfAbsent(name, x -> new TreeSet<>()).add(pid);
+                if (name != null && isRunning(directory)) {
+                    instanceNames.put(pid, name);
+                    running.computeIfAbsent(name, x -> new TreeSet<>()).add(pid);
                 }
             }
         } catch (IOException | RuntimeException e) {
-            return now; // gone while it was read
+            return running; // a process ended while it was read
         }
-        ours.keySet().retainAll(there);
-        others.keySet().retainAll(there);
-        now.forEach((name, pids) -> {
-            seen.computeIfAbsent(name, x -> new TreeSet<>()).addAll(pids);
+        instanceNames.keySet().retainAll(existing);
+        firstSeenNs.keySet().retainAll(existing);
+        running.forEach((name, pids) -> {
+            observedPids.computeIfAbsent(name, x -> new TreeSet<>()).addAll(pids);
             if (pids.size() > 1) {
-                twice.add(name + " " + pids);
+                simultaneousProcesses.add(name + " " + pids);
             }
         });
-        return now;
+        return running;
     }
 
     private String name(Path process) {
         try {
-            String all = Files.readString(process.resolve("environ"), StandardCharsets.ISO_8859_1);
-            for (String variable : all.split("\0")) {
-                if (variable.startsWith(run)) {
-                    return variable.substring(run.length(), variable.length() - ".sock".length());
+            String environment = Files.readString(process.resolve("environ"), StandardCharsets.ISO_8859_1);
+            for (String variable : environment.split("\0")) {
+                if (variable.startsWith(socketPrefix)) {
+                    return variable.substring(socketPrefix.length(), variable.length() - ".sock".length());
                 }
             }
         } catch (IOException e) {
-            // gone, or another user's
+            // the process has ended or belongs to another user
         }
         return null;
     }
 
-    private static boolean lives(Path process) {
+    private static boolean isRunning(Path process) {
         try {
             String stat = Files.readString(process.resolve("stat"), StandardCharsets.ISO_8859_1);
             char state = stat.charAt(stat.lastIndexOf(')') + 2);
@@ -106,33 +107,33 @@
         }
     }
 
-    /** Each pid that a name ever had. */
-    synchronized Map<String, Set<Long>> seen() {
-        look();
+    /** All pids that each instance has had. */
+    synchronized Map<String, Set<Long>> observedPids() {
+        scan();
         Map<String, Set<Long>> copy = new TreeMap<>();
-        seen.forEach((name, pids) -> copy.put(name, new TreeSet<>(pids)));
+        observedPids.forEach((name, pids) -> copy.put(name, new TreeSet<>(pids)));
         return copy;
     }
 
-    /** Where two of a name lived at once. */
-    synchronized List<String> twice() {
-        return List.copyOf(twice);
+    /** Cases of two processes of one instance at the same time. */
+    synchronized List<String> simultaneousProcesses() {
+        return List.copyOf(simultaneousProcesses);
     }
 
-    /** Ends all that runs, by their pids; nobody may start any more. */
-    void endAll() throws InterruptedException {
-        for (int quiet = 0; quiet < 3; ) {
-            Map<String, Set<Long>> now = look();
-            now.values()
+    /** Kills all running processes of the site; no more may be started. */
+    void killAll() throws InterruptedException {
+        for (int emptyScans = 0; emptyScans < 3; ) {
+            Map<String, Set<Long>> running = scan();
+            running.values()
                     .forEach(pids ->
                             pids.forEach(pid -> ProcessHandle.of(pid).ifPresent(ProcessHandle::destroyForcibly)));
-            quiet = now.isEmpty() ? quiet + 1 : 0;
-            Thread.sleep(50); // a fork under way becomes one of ours within that
+            emptyScans = running.isEmpty() ? emptyScans + 1 : 0;
+            Thread.sleep(50); // a fork in progress is recognised within this time
         }
     }
 
     @Override
     public void close() {
-        ends = true;
+        closed = true;
     }
 }
--- a/fleet/src/test/java/cacheproxy/agent/RemoteAccessTest.java
+++ b/fleet/src/test/java/cacheproxy/agent/RemoteAccessTest.java
@@ -30,51 +30,51 @@
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
 
-/** An agent that is reached from elsewhere, and one that is not: real processes, and the tool as one. */
+/** Agents with and without remote access: a real agent process, and the command line tool as a separate process. */
 @Timeout(120)
 class RemoteAccessTest {
-    private static final String WORD = "0123456789abcdef-token";
+    private static final String TOKEN_VALUE = "0123456789abcdef-token";
     private static final String JSON = "{\"listen\":\"127.0.0.1:0\",\"certificate\":\"agent.pem\","
             + "\"key\":\"agent.key\",\"clients\":\"clients.pem\"}";
-    private static final String TOKEN = JSON.replace("}", ",\"token\":\"word\"}");
-    private static final List<String> TLS =
+    private static final String JSON_WITH_TOKEN = JSON.replace("}", ",\"token\":\"word\"}");
+    private static final List<String> TLS_CLASS_PREFIXES =
             List.of(" cacheproxy.control.Tls", " javax.net.ssl.", " sun.security.ssl.", " io.netty.handler.ssl.");
 
     @TempDir
     static Path shared;
 
-    private static Certificates made;
+    private static Certificates certificates;
 
     @TempDir
     Path folder;
 
     @BeforeAll
-    static void certificates() throws Exception {
-        made = new Certificates(shared);
+    static void createCertificates() throws Exception {
+        certificates = new Certificates(shared);
     }
 
-    private static void lay(Path in, String json) throws Exception {
-        made.agent(in, "agent", "ca");
-        Certificates.file(in.resolve("word"), WORD + "\n");
+    private static void writeRemoteAccessFiles(Path in, String json) throws Exception {
+        certificates.agent(in, "agent", "ca");
+        Certificates.file(in.resolve("word"), TOKEN_VALUE + "\n");
         Certificates.file(in.resolve("remote.json"), json);
     }
 
-    /** Ports on which a process listens, by its descriptors and the kernel's list. */
-    private static Set<Integer> listens(long pid) throws IOException {
+    /** The ports on which a process listens, from its file descriptors and the kernel's socket tables. */
+    private static Set<Integer> listeningPorts(long pid) throws IOException {
         Set<String> sockets = new HashSet<>();
         try (DirectoryStream<Path> all = Files.newDirectoryStream(Path.of("/proc/" + pid + "/fd"))) {
             for (Path fd : all) {
                 try {
-                    String to = Files.readSymbolicLink(fd).toString();
-                    if (to.startsWith("socket:[")) {
-                        sockets.add(to.substring(8, to.length() - 1));
+                    String target = Files.readSymbolicLink(fd).toString();
+                    if (target.startsWith("socket:[")) {
+                        sockets.add(target.substring(8, target.length() - 1));
                     }
                 } catch (NoSuchFileException e) {
-                    // closed meanwhile: of a probe, not what it listens on
+                    // closed meanwhile, so a connection of a health check and not a listening socket
                 }
             }
         }
-        assertFalse(sockets.isEmpty(), "it has its Unix socket");
+        assertFalse(sockets.isEmpty(), "the process has at least its Unix socket");
         Set<Integer> ports = new HashSet<>();
         for (String kind : new String[] {"tcp", "tcp6", "udp", "udp6"}) {
             for (String line : Files.readAllLines(Path.of("/proc/" + pid + "/net/" + kind))) {
@@ -95,8 +95,8 @@
         return Integer.parseInt(line.replaceAll(".*remote access at 127.0.0.1:(\\d+).*", "$1"));
     }
 
-    /** What the tool prints, as a process of its own. */
-    private String tool(int code, String... arguments) throws Exception {
+    /** Runs the command line tool as a separate process and returns its output. */
+    private String runTool(int code, String... arguments) throws Exception {
         List<String> command = new ArrayList<>(List.of(
                 Path.of(System.getProperty("java.home"), "bin", "java").toString(),
                 "-XX:TieredStopAtLevel=1",
@@ -106,182 +106,187 @@
                 "cacheproxy.fleet.Main",
                 "ctl"));
         command.addAll(List.of(arguments));
-        ProcessBuilder b = new ProcessBuilder(command).redirectErrorStream(true);
-        b.environment().put("XDG_CACHE_HOME", folder.resolve("cache").toString());
-        Process p = b.start();
-        String said = new String(p.getInputStream().readAllBytes(), StandardCharsets.UTF_8);
-        assertTrue(p.waitFor(30, TimeUnit.SECONDS));
-        assertEquals(code, p.exitValue(), said);
-        return said;
+        ProcessBuilder builder = new ProcessBuilder(command).redirectErrorStream(true);
+        builder.environment().put("XDG_CACHE_HOME", folder.resolve("cache").toString());
+        Process process = builder.start();
+        String output = new String(process.getInputStream().readAllBytes(), StandardCharsets.UTF_8);
+        assertTrue(process.waitFor(30, TimeUnit.SECONDS));
+        assertEquals(code, process.exitValue(), output);
+        return output;
     }
 
-    private String far(AgentRig rig, String name, String client, String token) throws Exception {
-        Path papers = made.asking(folder.resolve(name), client, "ca", token);
-        return name + "=tls://127.0.0.1:" + port(rig) + "?" + papers;
+    private String remoteAddress(AgentRig rig, String name, String client, String token) throws Exception {
+        Path clientFolder = certificates.asking(folder.resolve(name), client, "ca", token);
+        return name + "=tls://127.0.0.1:" + port(rig) + "?" + clientFolder;
     }
 
     @Test
-    void withTheFileItIsReachedByWhoMayAndTheToolTellsWhyOthersAreNot() throws Exception {
+    void acceptsAuthorisedClientsAndReportsWhyOthersAreRejected() throws Exception {
         try (AgentRig rig = new AgentRig(1)) {
-            lay(rig.folder, TOKEN);
-            rig.up("-Xlog:class+load:file=" + folder.resolve("classes") + "::filecount=0");
-            String good = far(rig, "good", "client", WORD);
-            Map<String, Object> all = ControlCodec.decode(tool(0, "list", "-o", "json", "--agent", good));
+            writeRemoteAccessFiles(rig.folder, JSON_WITH_TOKEN);
+            rig.startAndAwait("-Xlog:class+load:file=" + folder.resolve("classes") + "::filecount=0");
+            String good = remoteAddress(rig, "good", "client", TOKEN_VALUE);
+            Map<String, Object> all = ControlCodec.decode(runTool(0, "list", "-o", "json", "--agent", good));
             Map<?, ?> agent = (Map<?, ?>) ((List<?>) all.get("agents")).get(0);
             assertEquals(true, agent.get("reachable"));
             assertEquals(rig.agent.pid(), ((Number) agent.get("agentPid")).longValue());
-            assertTrue(tool(0, "events", "--agent", good).contains("remote access at"));
+            assertTrue(runTool(0, "events", "--agent", good).contains("remote access at"));
             for (String op : new String[] {"list", "status"}) {
-                String said = tool(
+                String output = runTool(
                         3,
                         op,
                         "--agent",
-                        far(rig, "foreign", "stranger", WORD),
+                        remoteAddress(rig, "foreign", "stranger", TOKEN_VALUE),
                         "--agent",
                         good,
                         "--agent",
-                        far(rig, "wordless", "client", null),
+                        remoteAddress(rig, "wordless", "client", null),
                         "--agent",
-                        far(rig, "guesser", "client", "0123456789abcdef-guess"));
+                        remoteAddress(rig, "guesser", "client", "0123456789abcdef-guess"));
                 assertTrue(
-                        said.matches("(?s).*foreign +- +unreachable .*the handshake is refused: .*"
+                        output.matches("(?s).*foreign +- +unreachable .*the handshake is refused: .*"
                                 + "certificate.*wordless +- +unreachable .*the token is missing or wrong.*guesser +- "
                                 + "+unreachable .*the token is missing or wrong.*"),
-                        said);
+                        output);
             }
             for (String op : new String[] {"up", "down", "agent"}) {
-                assertTrue(tool(2, op, "--agent", good).contains("is not on this machine"));
+                assertTrue(runTool(2, op, "--agent", good).contains("is not on this machine"));
             }
-            assertTrue(tool(2, "list", "--agent", "x=tls://localhost:1?/x").contains("in digits"));
-            assertTrue(tool(2, "list", "--agent", "x=tls://127.0.0.1:1").contains("ADDRESS:PORT?FOLDER"));
-            assertEquals(Set.of(port(rig)), listens(rig.agent.pid()));
-            rig.done("list");
+            assertTrue(runTool(2, "list", "--agent", "x=tls://localhost:1?/x").contains("in digits"));
+            assertTrue(runTool(2, "list", "--agent", "x=tls://127.0.0.1:1").contains("ADDRESS:PORT?FOLDER"));
+            assertEquals(Set.of(port(rig)), listeningPorts(rig.agent.pid()));
+            rig.callOk("list");
             String classes = Files.readString(folder.resolve("classes"));
-            TLS.forEach(c -> assertTrue(classes.contains(c), c));
+            TLS_CLASS_PREFIXES.forEach(c -> assertTrue(classes.contains(c), c));
         }
     }
 
-    /** Danger: whoever reaches an agent runs what they like; and a start that loads TLS is slower. */
+    /**
+     * Anyone who can reach an agent can run any program, so nothing may listen by default; and loading TLS classes
+     * would slow down the start.
+     */
     @Test
-    void withoutTheFileNothingListensAndNoClassOfTlsIsLoaded() throws Exception {
+    void neitherListensNorLoadsTlsClassesWithoutTheFile() throws Exception {
         try (AgentRig rig = new AgentRig(1)) {
-            made.agent(rig.folder, "agent", "ca");
-            rig.up("-Xlog:class+load:file=" + folder.resolve("classes") + "::filecount=0");
-            rig.done("apply", "site", rig.site());
-            rig.until("all to be ready", () -> rig.all("ready"));
-            assertEquals(Set.of(), listens(rig.agent.pid()));
-            assertFalse(rig.happened("remote access"));
+            certificates.agent(rig.folder, "agent", "ca");
+            rig.startAndAwait("-Xlog:class+load:file=" + folder.resolve("classes") + "::filecount=0");
+            rig.callOk("apply", "site", rig.site());
+            rig.await("all to be ready", () -> rig.allInState("ready"));
+            assertEquals(Set.of(), listeningPorts(rig.agent.pid()));
+            assertFalse(rig.hasEvent("remote access"));
             rig.agent.destroy();
-            rig.ends();
+            rig.awaitExit();
             String classes = Files.readString(folder.resolve("classes"));
-            assertTrue(classes.contains(" cacheproxy.agent.Agent "), "the classes are seen");
-            // the JDK's list of providers, in which a probe's HMAC is looked for, names this one
+            assertTrue(classes.contains(" cacheproxy.agent.Agent "), "loaded classes are logged");
+            // the JDK loads this class from its list of providers when a health check looks up the HMAC
             List<String> loaded = classes.lines()
-                    .filter(l -> TLS.stream().anyMatch(l::contains) && !l.contains(" sun.security.ssl.SunJSSE"))
+                    .filter(l -> TLS_CLASS_PREFIXES.stream().anyMatch(l::contains)
+                            && !l.contains(" sun.security.ssl.SunJSSE"))
                     .toList();
             assertEquals(List.of(), loaded);
         }
     }
 
     @Test
-    void aBadFileEndsTheAgentWithCode2AndTheFieldsName() throws Exception {
+    void exitsWithCode2AndTheFieldNameOnInvalidFile() throws Exception {
         try (AgentRig rig = new AgentRig(1)) {
-            lay(rig.folder, JSON.replace("}", ",\"cleints\":\"x\"}"));
-            rig.begin();
-            assertEquals(2, rig.ends());
-            assertTrue(rig.said().contains("remote.json: cleints: no such field"), rig.said());
-            lay(rig.folder, JSON.replace("agent.pem", "nowhere.pem"));
-            rig.begin();
-            assertEquals(2, rig.ends());
-            assertTrue(rig.said().contains("remote.json: certificate: "), rig.said());
+            writeRemoteAccessFiles(rig.folder, JSON.replace("}", ",\"cleints\":\"x\"}"));
+            rig.startAgent();
+            assertEquals(2, rig.awaitExit());
+            assertTrue(rig.output().contains("remote.json: cleints: no such field"), rig.output());
+            writeRemoteAccessFiles(rig.folder, JSON.replace("agent.pem", "nowhere.pem"));
+            rig.startAgent();
+            assertEquals(2, rig.awaitExit());
+            assertTrue(rig.output().contains("remote.json: certificate: "), rig.output());
         }
     }
 
-    /** Danger: it ends and has started instances, which whoever starts it again and again has then. */
+    /** Guards against an agent that starts instances and then exits because its address is in use. */
     @Test
-    void anAgentWhosePlaceIsTakenHasStartedNothing() throws Exception {
+    void startsNoInstanceIfItsAddressIsInUse() throws Exception {
         try (AgentRig rig = new AgentRig(1);
-                ServerSocket taken = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
-            rig.up();
-            rig.done("apply", "site", rig.site());
-            rig.until("all to be ready", () -> rig.all("ready"));
+                ServerSocket portHolder = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
+            rig.startAndAwait();
+            rig.callOk("apply", "site", rig.site());
+            rig.await("all to be ready", () -> rig.allInState("ready"));
             rig.kill();
-            rig.running.endAll();
-            lay(rig.folder, JSON.replace(":0", ":" + taken.getLocalPort()));
-            rig.begin();
-            assertEquals(2, rig.ends());
-            assertTrue(rig.said().contains("in use"), rig.said());
-            assertFalse(rig.happened("remote access"));
+            rig.observer.killAll();
+            writeRemoteAccessFiles(rig.folder, JSON.replace(":0", ":" + portHolder.getLocalPort()));
+            rig.startAgent();
+            assertEquals(2, rig.awaitExit());
+            assertTrue(rig.output().contains("in use"), rig.output());
+            assertFalse(rig.hasEvent("remote access"));
             for (int i = 0; i < 20; i++) {
-                assertEquals(Map.of(), rig.running.look());
+                assertEquals(Map.of(), rig.observer.scan());
                 Thread.sleep(50);
             }
-            rig.begun(1);
-            lay(rig.folder, JSON);
-            rig.up();
-            rig.until("all to be ready again", () -> rig.all("ready"));
+            rig.assertStarts(1);
+            writeRemoteAccessFiles(rig.folder, JSON);
+            rig.startAndAwait();
+            rig.await("all to be ready again", () -> rig.allInState("ready"));
         }
     }
 
-    private void refused(String json, String why) throws Exception {
-        lay(folder, json);
-        why(why);
+    private void assertRejected(String json, String why) throws Exception {
+        writeRemoteAccessFiles(folder, json);
+        assertRejectedWith(why);
     }
 
-    private void why(String why) {
+    private void assertRejectedWith(String why) {
         Path file = folder.resolve("remote.json");
-        String said = assertThrows(InvalidInputException.class, () -> RemoteAccess.read(file))
+        String message = assertThrows(InvalidInputException.class, () -> RemoteAccess.read(file))
                 .getMessage();
-        assertTrue(said.startsWith(file + ": " + why) && !said.contains("\n"), said);
+        assertTrue(message.startsWith(file + ": " + why) && !message.contains("\n"), message);
     }
 
     @Test
-    void eachFieldThatIsNoGoodIsNamed() throws Exception {
+    void namesEachInvalidField() throws Exception {
         assertNull(RemoteAccess.read(folder.resolve("remote.json")));
-        lay(folder, TOKEN);
+        writeRemoteAccessFiles(folder, JSON_WITH_TOKEN);
         assertNotNull(RemoteAccess.read(folder.resolve("remote.json")));
-        refused("{", "it is not a JSON object");
-        refused("[1]", "it is not a JSON object");
-        refused(JSON.replace("listen", "Listen"), "Listen: no such field");
-        refused(JSON.replace("\"127.0.0.1:0\"", "7"), "listen: a text is needed");
+        assertRejected("{", "it is not a JSON object");
+        assertRejected("[1]", "it is not a JSON object");
+        assertRejected(JSON.replace("listen", "Listen"), "Listen: no such field");
+        assertRejected(JSON.replace("\"127.0.0.1:0\"", "7"), "listen: a text is needed");
         for (String bad : new String[] {
             "localhost:1", "127.0.0.1", "127.1:1", "127.0.0.1:65536", ":1", "1:2:3:4", "256.0.0.1:1", "127.0.0.1:-1"
         }) {
-            refused(JSON.replace("127.0.0.1:0", bad), "listen: ADDRESS:PORT in digits");
+            assertRejected(JSON.replace("127.0.0.1:0", bad), "listen: ADDRESS:PORT in digits");
         }
         for (String field : new String[] {"certificate", "key", "clients", "token"}) {
             String file = Map.of(
                             "certificate", "agent.pem", "key", "agent.key", "clients", "clients.pem", "token", "word")
                     .get(field);
-            refused(TOKEN.replace("\"" + file + "\"", "\"nowhere\""), field + ": ");
-            refused(TOKEN.replace("\"" + file + "\"", "\".\""), field + ": ");
-            refused(TOKEN.replace("\"" + file + "\"", "null"), field + ": a text is needed");
-            lay(folder, TOKEN);
+            assertRejected(JSON_WITH_TOKEN.replace("\"" + file + "\"", "\"nowhere\""), field + ": ");
+            assertRejected(JSON_WITH_TOKEN.replace("\"" + file + "\"", "\".\""), field + ": ");
+            assertRejected(JSON_WITH_TOKEN.replace("\"" + file + "\"", "null"), field + ": a text is needed");
+            writeRemoteAccessFiles(folder, JSON_WITH_TOKEN);
             Files.writeString(folder.resolve(file), "nonsense");
-            why(field + ": ");
-            lay(folder, TOKEN);
+            assertRejectedWith(field + ": ");
+            writeRemoteAccessFiles(folder, JSON_WITH_TOKEN);
             Files.writeString(folder.resolve(file), "");
-            why(field + ": ");
+            assertRejectedWith(field + ": ");
             if (!field.equals("token")) {
-                refused(JSON.replaceAll(",?\"" + field + "\":\"[^\"]*\"", ""), field + " is missing");
+                assertRejected(JSON.replaceAll(",?\"" + field + "\":\"[^\"]*\"", ""), field + " is missing");
             }
         }
-        lay(folder, JSON);
-        Certificates.file(folder.resolve("agent.key"), made.key("client"));
-        why("key: " + folder.resolve("agent.key") + " does not belong to the certificate");
+        writeRemoteAccessFiles(folder, JSON);
+        Certificates.file(folder.resolve("agent.key"), certificates.key("client"));
+        assertRejectedWith("key: " + folder.resolve("agent.key") + " does not belong to the certificate");
     }
 
     @Test
-    void aFileThatOthersMayReadIsRefused() throws Exception {
+    void rejectsFileThatOthersCanAccess() throws Exception {
         for (String file : new String[] {"agent.key", "word"}) {
-            lay(folder, TOKEN);
+            writeRemoteAccessFiles(folder, JSON_WITH_TOKEN);
             Files.setPosixFilePermissions(folder.resolve(file), PosixFilePermissions.fromString("rw-r-----"));
-            why((file.equals("word") ? "token" : "key") + ": " + folder.resolve(file) + " lets others in");
+            assertRejectedWith(
+                    (file.equals("word") ? "token" : "key") + ": " + folder.resolve(file) + " lets others in");
         }
         for (String mode : new String[] {"rw-r--r--", "rw--w----", "rwx------", "rw-----w-"}) {
-            lay(folder, JSON);
+            writeRemoteAccessFiles(folder, JSON);
             Files.setPosixFilePermissions(folder.resolve("remote.json"), PosixFilePermissions.fromString(mode));
-            why("its mode is " + mode);
+            assertRejectedWith("its mode is " + mode);
         }
     }
 }
--- a/fleet/src/test/java/cacheproxy/agent/StandInCacheNode.java
+++ b/fleet/src/test/java/cacheproxy/agent/StandInCacheNode.java
@@ -14,21 +14,21 @@
 import java.util.concurrent.ConcurrentHashMap;
 import java.util.concurrent.CopyOnWriteArrayList;
 
-/** A scripted cache node that answers each command after a while, and counts how often each id has come. */
+/** A stand-in cache node that answers each command after a fixed delay and counts the commands by id. */
 final class StandInCacheNode implements Closeable {
     private static final long SERVICE_MS = 8;
 
     private final ServerSocket server = new ServerSocket(0, 256, InetAddress.getLoopbackAddress());
-    private final List<Socket> all = new CopyOnWriteArrayList<>();
-    private final Map<String, Integer> came = new ConcurrentHashMap<>();
+    private final List<Socket> connections = new CopyOnWriteArrayList<>();
+    private final Map<String, Integer> commandCounts = new ConcurrentHashMap<>();
 
     StandInCacheNode() throws IOException {
-        thread(() -> {
+        startThread(() -> {
             try {
                 while (true) {
-                    Socket s = server.accept();
-                    all.add(s);
-                    thread(() -> serve(s));
+                    Socket socket = server.accept();
+                    connections.add(socket);
+                    startThread(() -> serve(socket));
                 }
             } catch (IOException e) {
                 // closed by the test
@@ -36,31 +36,31 @@
         });
     }
 
-    private static void thread(Runnable r) {
-        Thread t = new Thread(r, "stand-in");
-        t.setDaemon(true);
-        t.start();
+    private static void startThread(Runnable task) {
+        Thread thread = new Thread(task, "stand-in");
+        thread.setDaemon(true);
+        thread.start();
     }
 
     String address() {
         return "127.0.0.1:" + server.getLocalPort();
     }
 
-    /** How often the command with this id has come. */
-    int came(String id) {
-        return came.getOrDefault(id, 0);
+    /** How often the command with this id was received. */
+    int commandCount(String id) {
+        return commandCounts.getOrDefault(id, 0);
     }
 
-    private void serve(Socket s) {
-        try (s) {
-            s.setTcpNoDelay(true);
-            InputStream in = new BufferedInputStream(s.getInputStream());
-            for (String line = line(in); line != null; line = line(in)) {
+    private void serve(Socket socket) {
+        try (socket) {
+            socket.setTcpNoDelay(true);
+            InputStream in = new BufferedInputStream(socket.getInputStream());
+            for (String line = readLine(in); line != null; line = readLine(in)) {
                 String answer = answer(line, in);
-                s.getOutputStream().write(answer.getBytes(StandardCharsets.ISO_8859_1));
+                socket.getOutputStream().write(answer.getBytes(StandardCharsets.ISO_8859_1));
             }
         } catch (IOException e) {
-            // its proxy has ended
+            // the proxy has closed the connection
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
@@ -72,17 +72,17 @@
             return "MN\r\n";
         }
         String id = words[3].substring(1);
-        boolean write = words[0].equals("ms");
-        if (write) {
-            line(in);
+        boolean isWrite = words[0].equals("ms");
+        if (isWrite) {
+            readLine(in);
         }
-        came.merge(id, 1, Integer::sum);
+        commandCounts.merge(id, 1, Integer::sum);
         Thread.sleep(SERVICE_MS);
-        return write ? "HD O" + id + " c7\r\n" : "VA 1 O" + id + "\r\n1\r\n";
+        return isWrite ? "HD O" + id + " c7\r\n" : "VA 1 O" + id + "\r\n1\r\n";
     }
 
-    /** The next line; null at the end. */
-    static String line(InputStream in) throws IOException {
+    /** The next line; null at the end of the stream. */
+    static String readLine(InputStream in) throws IOException {
         ByteArrayOutputStream line = new ByteArrayOutputStream();
         for (int b = in.read(); b != '\n'; b = in.read()) {
             if (b < 0) {
@@ -96,8 +96,8 @@
     @Override
     public void close() throws IOException {
         server.close();
-        for (Socket s : all) {
-            s.close();
+        for (Socket socket : connections) {
+            socket.close();
         }
     }
 }
--- a/fleet/src/test/java/cacheproxy/agent/SteadyLoad.java
+++ b/fleet/src/test/java/cacheproxy/agent/SteadyLoad.java
@@ -13,31 +13,31 @@
 import java.util.concurrent.atomic.AtomicInteger;
 
 /**
- * Clients that ask on and on, each over connections to all instances in turn. A connection that is refused, or ends
- * with nothing said on it, sends the request to the next instance; the node then shows whether it had been read after
- * all. Everything else than its one answer is a failure.
+ * Clients that send requests continuously, each over connections to all instances in turn. If a connection is refused
+ * or closes without a response, the request is sent to the next instance; the node's count of the request then shows
+ * whether it had been forwarded after all. Anything but exactly one correct response is a failure.
  */
 final class SteadyLoad implements AutoCloseable {
-    private static final int ANSWER_MS = 10_000;
-    private static final int PAUSE_MS = 4;
-    private static final int MOST_TRIES = 2_000;
+    private static final int RESPONSE_TIMEOUT_MS = 10_000;
+    private static final int REQUEST_INTERVAL_MS = 4;
+    private static final int MAX_ATTEMPTS = 2_000;
 
     private final int[] ports;
     private final StandInCacheNode node;
     private final List<String> failures = new CopyOnWriteArrayList<>();
     private final List<String> ids = new CopyOnWriteArrayList<>();
     final AtomicInteger answered = new AtomicInteger();
-    final AtomicInteger again = new AtomicInteger();
+    final AtomicInteger resent = new AtomicInteger();
     private final Thread[] threads;
-    private volatile boolean ends;
+    private volatile boolean stopped;
 
-    /** One connection with what has come on it. */
-    private record Line(Socket socket, InputStream in) {
-        static Line to(int port) throws IOException {
-            Socket s = new Socket(InetAddress.getLoopbackAddress(), port);
-            s.setSoTimeout(ANSWER_MS);
-            s.setTcpNoDelay(true);
-            return new Line(s, new BufferedInputStream(s.getInputStream()));
+    /** A connection with its buffered input. */
+    private record Connection(Socket socket, InputStream in) {
+        static Connection to(int port) throws IOException {
+            Socket socket = new Socket(InetAddress.getLoopbackAddress(), port);
+            socket.setSoTimeout(RESPONSE_TIMEOUT_MS);
+            socket.setTcpNoDelay(true);
+            return new Connection(socket, new BufferedInputStream(socket.getInputStream()));
         }
     }
 
@@ -45,97 +45,98 @@
         this.ports = ports;
         this.node = node;
         threads = new Thread[clients];
-        for (int c = 0; c < clients; c++) {
-            String name = "c" + c;
-            int first = c;
-            threads[c] = new Thread(() -> ask(name, first), "steady");
-            threads[c].setDaemon(true);
-            threads[c].start();
+        for (int client = 0; client < clients; client++) {
+            String name = "c" + client;
+            int firstInstance = client;
+            threads[client] = new Thread(() -> sendRequests(name, firstInstance), "steady");
+            threads[client].setDaemon(true);
+            threads[client].start();
         }
     }
 
-    private void ask(String name, int first) {
-        Map<Integer, Line> lines = new HashMap<>();
-        int at = first;
+    private void sendRequests(String name, int firstInstance) {
+        Map<Integer, Connection> connections = new HashMap<>();
+        int index = firstInstance;
         try {
-            for (int n = 0; !ends; n++) {
-                String id = name + "x" + n;
+            for (int number = 0; !stopped; number++) {
+                String id = name + "x" + number;
                 ids.add(id);
-                at = one(id, n, at, lines) + 1;
-                Thread.sleep(PAUSE_MS); // their pace
+                index = send(id, number, index, connections) + 1;
+                Thread.sleep(REQUEST_INTERVAL_MS); // limits the request rate
             }
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         } finally {
-            for (Line l : lines.values()) {
+            for (Connection connection : connections.values()) {
                 try {
-                    l.socket.close();
+                    connection.socket.close();
                 } catch (IOException e) {
-                    // it was ended by the other side
+                    // already closed by the peer
                 }
             }
         }
     }
 
-    /** Which instance has answered. */
-    private int one(String id, int n, int from, Map<Integer, Line> lines) throws InterruptedException {
-        boolean write = n % 2 == 0;
-        String text = write
+    /** Sends one request until it is answered; returns the index of the instance that answered. */
+    private int send(String id, int number, int from, Map<Integer, Connection> connections)
+            throws InterruptedException {
+        boolean write = number % 2 == 0;
+        String command = write
                 ? "ms 7f3a9c21e0b4d655 5 O" + id + " Pc=charge,t=acme,d=4000,k=" + Integer.toHexString(id.hashCode())
                         + "\r\nhello\r\n"
                 : "mg 7f3a9c21e0b4d655 v O" + id + " Pc=lookup,t=acme,d=4000\r\n";
-        int at = from;
-        for (int tries = 0; tries < MOST_TRIES; tries++, at++) {
-            int port = ports[Math.floorMod(at, ports.length)];
+        int index = from;
+        for (int attempts = 0; attempts < MAX_ATTEMPTS; attempts++, index++) {
+            int port = ports[Math.floorMod(index, ports.length)];
             try {
-                if (!lines.containsKey(port)) {
-                    lines.put(port, Line.to(port));
+                if (!connections.containsKey(port)) {
+                    connections.put(port, Connection.to(port));
                 }
-                Line l = lines.get(port);
-                l.socket.getOutputStream().write(text.getBytes(StandardCharsets.ISO_8859_1));
-                String answer = StandInCacheNode.line(l.in);
+                Connection connection = connections.get(port);
+                connection.socket.getOutputStream().write(command.getBytes(StandardCharsets.ISO_8859_1));
+                String answer = StandInCacheNode.readLine(connection.in);
                 if (answer != null) {
                     boolean good = answer.equals(write ? "HD O" + id + " c7" : "VA 1 O" + id)
-                            && (write || "1".equals(StandInCacheNode.line(l.in)));
+                            && (write || "1".equals(StandInCacheNode.readLine(connection.in)));
                     if (good) {
                         answered.incrementAndGet();
                     } else {
                         failures.add(id + " at " + port + " was answered " + answer);
                     }
-                    return at;
+                    return index;
                 }
             } catch (java.net.SocketTimeoutException e) {
                 failures.add(id + " at " + port + " was not answered");
-                return at;
+                return index;
             } catch (IOException e) {
-                // refused, or ended with nothing said
+                // refused, or closed without a response
             }
-            again.incrementAndGet();
-            Line ended = lines.remove(port);
-            if (ended != null) {
+            resent.incrementAndGet();
+            Connection closed = connections.remove(port);
+            if (closed != null) {
                 try {
-                    ended.socket.close();
+                    closed.socket.close();
                 } catch (IOException e) {
-                    // it was ended by the other side
+                    // already closed by the peer
                 }
             }
-            if (at - from >= ports.length) {
-                Thread.sleep(PAUSE_MS); // nobody is there
+            if (index - from >= ports.length) {
+                Thread.sleep(REQUEST_INTERVAL_MS); // no instance accepts connections
             }
         }
-        failures.add(id + " found nobody");
-        return at;
+        failures.add(id + " was accepted by no instance");
+        return index;
     }
 
-    /** Ends them, and tells what failed: each request has one answer and came to the node once. */
-    List<String> end() throws InterruptedException {
-        ends = true;
-        for (Thread t : threads) {
-            t.join();
+    /** Stops the clients and returns the failures; each request must have one response and reach the node once. */
+    List<String> stopAndGetFailures() throws InterruptedException {
+        stopped = true;
+        for (Thread thread : threads) {
+            thread.join();
         }
         for (String id : ids) {
-            if (node.came(id) != 1) {
-                failures.add(id + " came to the node " + node.came(id) + " times");
+            if (node.commandCount(id) != 1) {
+                failures.add(id + " reached the node " + node.commandCount(id) + " times");
             }
         }
         if (answered.get() != ids.size()) {
@@ -146,6 +147,6 @@
 
     @Override
     public void close() {
-        ends = true;
+        stopped = true;
     }
 }
--- a/fleet/src/test/java/cacheproxy/supervise/SimulatedMachine.java
+++ b/fleet/src/test/java/cacheproxy/supervise/SimulatedMachine.java
@@ -961,21 +961,22 @@
             }
         } else if (what < 6 && faultOccurs(FaultKind.WISH, 1)) {
             boolean running = random.nextInt(3) > 0;
-            runCommand(name, running, "want " + name + " " + running, () -> agent.setDesiredState(now(), name, running));
+            runCommand(
+                    name, running, "want " + name + " " + running, () -> agent.setDesiredState(now(), name, running));
         } else if (what == 6 && faultOccurs(FaultKind.WISH, 1)) {
             runCommand(name, true, "restart " + name, () -> agent.restart(now(), name));
         } else if (what == 7 && faultOccurs(FaultKind.WISH, 1)) {
-            log("wish reload " + name + ": " + agent.reload(now(), name));
+            log("command reload " + name + ": " + agent.reload(now(), name));
         } else if (what > 7 && faultOccurs(FaultKind.ROLL, 1)) {
             List<String> selected = new ArrayList<>(names);
             selected.removeIf(n -> random.nextInt(5) == 0);
-            log("wish roll " + selected);
+            log("command roll " + selected);
             log(agent.beginRollingRestart(now(), selected, 1 + random.nextInt(2)));
         }
     }
 
     private void runCommand(String name, boolean running, String description, Supplier<String> call) {
-        log("wish " + description);
+        log("command " + description);
         commandTarget = name;
         String why = call.get();
         commandTarget = "";
