--- a/fleet/src/main/java/cacheproxy/agent/Agent.java
+++ b/fleet/src/main/java/cacheproxy/agent/Agent.java
@@ -86,11 +86,11 @@
         launcher = new Launcher(stateFolder, procFs, java, classPath);
         events = new EventLog(stateFolder.events());
         supervisor = new Supervisor(this);
-        journal = Journal.open(stateFolder.journal(), entry -> {
-            if (entry instanceof JournalRecord.SiteDeclared d) {
-                siteText = d.site();
+        journal = Journal.open(stateFolder.journal(), journalRecord -> {
+            if (journalRecord instanceof JournalRecord.SiteDeclared siteDeclared) {
+                siteText = siteDeclared.site();
             } else {
-                supervisor.replay(entry);
+                supervisor.replay(journalRecord);
             }
         });
         events.add("", "agent begins, pid " + ProcessHandle.current().pid());
@@ -255,15 +255,15 @@
     // ---- actions of the supervisor ----
 
     @Override
-    public boolean appendToJournal(JournalRecord entry) {
-        Failpoint.pass("before-" + entry.getClass().getSimpleName());
+    public boolean appendToJournal(JournalRecord journalRecord) {
+        Failpoint.pass("before-" + journalRecord.getClass().getSimpleName());
         try {
-            journal.append(entry);
+            journal.append(journalRecord);
             if (journalFails) {
                 journalFails = false;
                 events.add("", "the journal is written again");
             }
-            Failpoint.pass("after-" + entry.getClass().getSimpleName());
+            Failpoint.pass("after-" + journalRecord.getClass().getSimpleName());
             return true;
         } catch (IOException e) {
             if (!journalFails) {
--- a/fleet/src/main/java/cacheproxy/agent/Journal.java
+++ b/fleet/src/main/java/cacheproxy/agent/Journal.java
@@ -189,15 +189,15 @@
         int count = 0;
         try (FileChannel out = FileChannel.open(
                 newFile, StandardOpenOption.CREATE, StandardOpenOption.WRITE, StandardOpenOption.TRUNCATE_EXISTING)) {
-            List<byte[]> content = new ArrayList<>();
-            content.add(header());
-            for (JournalRecord e : snapshot) {
-                content.add(line(toFields(e)));
+            List<byte[]> encodedLines = new ArrayList<>();
+            encodedLines.add(header());
+            for (JournalRecord journalRecord : snapshot) {
+                encodedLines.add(line(toFields(journalRecord)));
             }
-            for (byte[] encodedLine : content) {
-                ByteBuffer b = ByteBuffer.wrap(encodedLine);
-                while (b.hasRemaining()) {
-                    out.write(b);
+            for (byte[] encodedLine : encodedLines) {
+                ByteBuffer buffer = ByteBuffer.wrap(encodedLine);
+                while (buffer.hasRemaining()) {
+                    out.write(buffer);
                 }
                 count++;
             }
@@ -229,42 +229,42 @@
 
     private static Map<String, Object> toFields(JournalRecord journalRecord) {
         Map<String, Object> fields = new LinkedHashMap<>();
-        if (journalRecord instanceof JournalRecord.SiteDeclared d) {
-            fields.put("declared", d.site());
-        } else if (journalRecord instanceof JournalRecord.DesiredStateSet w) {
-            fields.put("wanted", w.name());
-            fields.put("running", w.running());
-        } else if (journalRecord instanceof JournalRecord.StartAnnounced i) {
-            fields.put("intent", i.name());
-            fields.put("start", i.start());
-            fields.put("secret", i.secret());
-            fields.put("launch", i.launch());
-            fields.put("forkMs", i.forkMs());
-        } else if (journalRecord instanceof JournalRecord.ProcessStarted s) {
-            fields.put("spawned", s.name());
-            fields.put("start", s.start());
-            fields.put("pid", s.identity().pid());
-            fields.put("startTicks", s.identity().startTicks());
-            fields.put("bootId", s.identity().bootId());
-        } else if (journalRecord instanceof JournalRecord.ProcessEnded e) {
-            fields.put("ended", e.name());
-            fields.put("start", e.start());
-            fields.put("code", e.code());
-            fields.put("failures", e.failures());
-        } else if (journalRecord instanceof JournalRecord.RollingRestartBegun r) {
-            fields.put("roll", r.id());
-            fields.put("names", r.names());
-            fields.put("mostDown", r.mostDown());
-        } else if (journalRecord instanceof JournalRecord.RollingRestartInstanceBegun t) {
-            fields.put("rollTaken", t.id());
-            fields.put("name", t.name());
-            fields.put("start", t.start());
-        } else if (journalRecord instanceof JournalRecord.RollingRestartInstanceDone d) {
-            fields.put("rollDone", d.id());
-            fields.put("name", d.name());
-        } else if (journalRecord instanceof JournalRecord.RollingRestartEnded e) {
-            fields.put("rollEnded", e.id());
-            fields.put("why", e.why());
+        if (journalRecord instanceof JournalRecord.SiteDeclared siteDeclared) {
+            fields.put("declared", siteDeclared.site());
+        } else if (journalRecord instanceof JournalRecord.DesiredStateSet desiredStateSet) {
+            fields.put("wanted", desiredStateSet.name());
+            fields.put("running", desiredStateSet.running());
+        } else if (journalRecord instanceof JournalRecord.StartAnnounced startAnnounced) {
+            fields.put("intent", startAnnounced.name());
+            fields.put("start", startAnnounced.start());
+            fields.put("secret", startAnnounced.secret());
+            fields.put("launch", startAnnounced.launch());
+            fields.put("forkMs", startAnnounced.forkMs());
+        } else if (journalRecord instanceof JournalRecord.ProcessStarted processStarted) {
+            fields.put("spawned", processStarted.name());
+            fields.put("start", processStarted.start());
+            fields.put("pid", processStarted.identity().pid());
+            fields.put("startTicks", processStarted.identity().startTicks());
+            fields.put("bootId", processStarted.identity().bootId());
+        } else if (journalRecord instanceof JournalRecord.ProcessEnded processEnded) {
+            fields.put("ended", processEnded.name());
+            fields.put("start", processEnded.start());
+            fields.put("code", processEnded.code());
+            fields.put("failures", processEnded.failures());
+        } else if (journalRecord instanceof JournalRecord.RollingRestartBegun begun) {
+            fields.put("roll", begun.id());
+            fields.put("names", begun.names());
+            fields.put("mostDown", begun.mostDown());
+        } else if (journalRecord instanceof JournalRecord.RollingRestartInstanceBegun instanceBegun) {
+            fields.put("rollTaken", instanceBegun.id());
+            fields.put("name", instanceBegun.name());
+            fields.put("start", instanceBegun.start());
+        } else if (journalRecord instanceof JournalRecord.RollingRestartInstanceDone instanceDone) {
+            fields.put("rollDone", instanceDone.id());
+            fields.put("name", instanceDone.name());
+        } else if (journalRecord instanceof JournalRecord.RollingRestartEnded rollingRestartEnded) {
+            fields.put("rollEnded", rollingRestartEnded.id());
+            fields.put("why", rollingRestartEnded.why());
         }
         return fields;
     }
--- a/fleet/src/main/java/cacheproxy/agent/ProcFs.java
+++ b/fleet/src/main/java/cacheproxy/agent/ProcFs.java
@@ -45,7 +45,7 @@
         }
         throw new InvalidInputException(
                 proc + " does not show this process (pid " + pid + "): it is not mounted, or is "
-                        + "that of another pid namespace; an agent needs it to know its instances again");
+                        + "that of another pid namespace; an agent needs it to recognise its instances");
     }
 
     /** Identifies a process; null if it does not exist or is a zombie. */
--- a/fleet/src/main/java/cacheproxy/supervise/InstanceState.java
+++ b/fleet/src/main/java/cacheproxy/supervise/InstanceState.java
@@ -14,9 +14,9 @@
     UNREADY,
     /** A reload of the configuration was requested. */
     RELOADING,
-    /** The process was told to stop and reports the progress of its drain. */
+    /** The process was asked to stop and reports the progress of its drain. */
     DRAINING,
-    /** The process was told to stop. */
+    /** SIGTERM was sent to the process. */
     STOPPING,
     /** The process runs, but does not answer health checks or does not stop. */
     HUNG,
--- a/fleet/src/main/java/cacheproxy/supervise/Supervisor.java
+++ b/fleet/src/main/java/cacheproxy/supervise/Supervisor.java
@@ -192,8 +192,8 @@
     }
 
     /** A reload was answered: the instance applied the configuration, or rejected it with a reason. */
-    public void reloaded(long now, String name, int start, boolean taken, String why, String digest) {
-        reloads.reloaded(now, name, start, taken, why, digest);
+    public void reloaded(long now, String name, int start, boolean applied, String why, String digest) {
+        reloads.reloaded(now, name, start, applied, why, digest);
     }
 
     /** The reload request could not be sent or was not answered, so the validity of the configuration is unknown. */
--- a/fleet/src/main/java/cacheproxy/supervise/SupervisorActions.java
+++ b/fleet/src/main/java/cacheproxy/supervise/SupervisorActions.java
@@ -6,7 +6,7 @@
      * Writes a record to the journal and syncs it before returning. Returns false on failure; the announced action must
      * then not be carried out.
      */
-    boolean appendToJournal(JournalRecord entry);
+    boolean appendToJournal(JournalRecord journalRecord);
 
     /** An unguessable secret for one start. */
     String secret();
@@ -38,5 +38,5 @@
     void reload(String name, int start);
 
     /** Adds a message for operators to the event log. */
-    void logEvent(String name, String what);
+    void logEvent(String name, String message);
 }
--- a/fleet/src/test/java/cacheproxy/supervise/SimulatedMachine.java
+++ b/fleet/src/test/java/cacheproxy/supervise/SimulatedMachine.java
@@ -59,7 +59,7 @@
 
     private static final int MAX_LATENESS_MS = 900;
     private static final int PROBE_TIMEOUT_MS = 300;
-    /** Allows for a lost probe, the next one until its timeout, late earlier answers, and ticks. */
+    /** Allows for a lost health check, the next one until its timeout, late earlier answers, and ticks. */
     private static final int HUNG_TOLERANCE_MS = 3 * MAX_LATENESS_MS + 2 * PROBE_TIMEOUT_MS + 400;
 
     private static final int TICK_MS = 100;
@@ -87,7 +87,7 @@
         boolean receivedSigterm;
         boolean draining;
         String digest = "";
-        /** Since when every probe of the process must fail; -1: probes can succeed. */
+        /** Since when every health check of the process must fail; -1: health checks can succeed. */
         long unresponsiveSinceMs = -1;
         /** When the present agent sent SIGTERM; -1: not sent. */
         long sigtermSentMs = -1;
@@ -128,7 +128,9 @@
     private long agentClockStartMs;
     private long agentStartedMs;
     private boolean replaying;
+    /** Processes whose end the present agent notices. */
     private final Set<SimulatedProcess> observedProcesses = new HashSet<>();
+    /** The agent dies at the next point whose name contains this text, or at any point; null: it does not. */
     private String armedDeathPoint;
     private boolean diskFull;
     private boolean diskWasFull;
@@ -146,7 +148,9 @@
     private final Map<String, Long> lastEndMs = new HashMap<>();
     private Map<String, InstanceSpec> declared = new TreeMap<>();
     private final Map<String, Boolean> requestedRunning = new HashMap<>();
+    /** Instances whose desired state the agent may have changed without a journal record, since the disk was full. */
     private final Set<String> uncertainRequests = new HashSet<>();
+    /** The instance that the current operator command is for; empty outside a command. */
     private String commandTarget = "";
     private JournalRecord.RollingRestartBegun rollingRestart;
     private final Map<String, Integer> restarting = new LinkedHashMap<>();
@@ -207,16 +211,16 @@
         return new RuleViolation("at " + timeMs + " ms: " + what);
     }
 
-    private void schedule(long delay, Runnable what) {
-        queue.add(new ScheduledTask(timeMs + delay, order++, what));
+    private void schedule(long delayMs, Runnable what) {
+        queue.add(new ScheduledTask(timeMs + delayMs, order++, what));
     }
 
     private boolean faultOccurs(FaultKind kind, double chance) {
         return random.nextDouble() < chance && !faultsEnded && enabledFaults.contains(kind);
     }
 
-    private int latencyMs(int usual) {
-        return faultOccurs(FaultKind.LATE, 0.06) ? random.nextInt(MAX_LATENESS_MS) : 1 + random.nextInt(usual);
+    private int latencyMs(int typicalMaxMs) {
+        return faultOccurs(FaultKind.LATE, 0.06) ? random.nextInt(MAX_LATENESS_MS) : 1 + random.nextInt(typicalMaxMs);
     }
 
     // ---- the run ----
@@ -269,9 +273,9 @@
         checkRules();
     }
 
-    private void scheduleForAgent(long delay, Runnable what) {
+    private void scheduleForAgent(long delayMs, Runnable what) {
         int scheduledIncarnation = incarnation;
-        schedule(delay, () -> {
+        schedule(delayMs, () -> {
             if (agent != null && incarnation == scheduledIncarnation) {
                 what.run();
             }
@@ -297,11 +301,11 @@
         observedProcesses.clear();
         armedDeathPoint = null;
         unrecordedRestarts.clear();
-        processes.forEach(p -> p.sigtermSentMs = -1);
+        processes.forEach(process -> process.sigtermSentMs = -1);
         Supervisor supervisor = new Supervisor(this);
         replaying = true;
-        for (JournalRecord e : journal) {
-            supervisor.replay(e);
+        for (JournalRecord journalRecord : journal) {
+            supervisor.replay(journalRecord);
         }
         replaying = false;
         agent = supervisor;
@@ -344,13 +348,13 @@
         commandTarget = "";
         armedDeathPoint = null;
         incarnation++;
-        for (SimulatedProcess p : List.copyOf(processes)) {
-            if (!p.forked && random.nextBoolean()) {
-                processes.remove(p); // the agent died before the fork
-            } else if (!p.forked && faultOccurs(FaultKind.SLOW, 0.5)) {
-                p.forkDelayMs =
-                        3000 + random.nextInt(3 * (int) policies.get(p.name).forkMs());
-                markUntracked(p);
+        for (SimulatedProcess process : List.copyOf(processes)) {
+            if (!process.forked && random.nextBoolean()) {
+                processes.remove(process); // the agent died before the fork
+            } else if (!process.forked && faultOccurs(FaultKind.SLOW, 0.5)) {
+                process.forkDelayMs =
+                        3000 + random.nextInt(3 * (int) policies.get(process.name).forkMs());
+                markUntracked(process);
             }
         }
         schedule(random.nextInt(3) == 0 ? 1 : random.nextInt(2500), () -> {
@@ -360,10 +364,10 @@
         });
     }
 
-    private void markUntracked(SimulatedProcess p) {
-        log("lost: " + p.name + " " + p.start);
-        p.untracked = true;
-        p.everUntracked = true;
+    private void markUntracked(SimulatedProcess process) {
+        log("lost: " + process.name + " " + process.start);
+        process.untracked = true;
+        process.everUntracked = true;
     }
 
     /** A point in an action at which the agent may die. */
@@ -401,76 +405,81 @@
     }
 
     private void checkRecord(JournalRecord journalRecord) {
-        if (journalRecord instanceof JournalRecord.DesiredStateSet w) {
-            if (w.running()
-                    && declared.containsKey(w.name())
-                    && !requestedRunning.getOrDefault(w.name(), true)
-                    && !commandTarget.equals(w.name())
-                    && !uncertainRequests.contains(w.name())) {
-                throw violation(w.name() + " was stopped by an operator and is started without a command");
+        if (journalRecord instanceof JournalRecord.DesiredStateSet desired) {
+            if (desired.running()
+                    && declared.containsKey(desired.name())
+                    && !requestedRunning.getOrDefault(desired.name(), true)
+                    && !commandTarget.equals(desired.name())
+                    && !uncertainRequests.contains(desired.name())) {
+                throw violation(desired.name() + " was stopped by an operator and is started without a command");
             }
-            requestedRunning.put(w.name(), w.running());
-            uncertainRequests.remove(w.name());
-            lastEndRecord.remove(w.name());
-        } else if (journalRecord instanceof JournalRecord.StartAnnounced i && secrets.containsValue(i.secret())) {
-            if (!diskWasFull && lastExitCode.getOrDefault(i.name(), 0) != Supervisor.NAME_HELD_EXIT_CODE
-                    || i.start() <= lastAnnouncedStart.getOrDefault(i.name(), 0)) {
-                throw violation(i + " adopts a lock holder although the name was not found held");
+            requestedRunning.put(desired.name(), desired.running());
+            uncertainRequests.remove(desired.name());
+            lastEndRecord.remove(desired.name());
+        } else if (journalRecord instanceof JournalRecord.StartAnnounced announcement
+                && secrets.containsValue(announcement.secret())) {
+            if (!diskWasFull && lastExitCode.getOrDefault(announcement.name(), 0) != Supervisor.NAME_HELD_EXIT_CODE
+                    || announcement.start() <= lastAnnouncedStart.getOrDefault(announcement.name(), 0)) {
+                throw violation(announcement + " adopts a lock holder although the name was not found held");
             }
-            for (SimulatedProcess p : processes) {
-                if (p.name.equals(i.name()) && p.secret.equals(i.secret())) {
-                    p.start = i.start();
-                    p.untracked = false;
+            for (SimulatedProcess process : processes) {
+                if (process.name.equals(announcement.name()) && process.secret.equals(announcement.secret())) {
+                    process.start = announcement.start();
+                    process.untracked = false;
                     // the timeout starts anew for this agent
-                    p.unresponsiveSinceMs = p.unresponsiveSinceMs < 0 ? -1 : timeMs;
+                    process.unresponsiveSinceMs = process.unresponsiveSinceMs < 0 ? -1 : timeMs;
                 }
             }
             holdersAdopted++;
-            applyAnnouncement(i);
-        } else if (journalRecord instanceof JournalRecord.StartAnnounced i) {
-            if (i.start() <= lastAnnouncedStart.getOrDefault(i.name(), 0) && runningProcess(i.name()) != null) {
-                throw violation("start " + i.start() + " of " + i.name() + " reuses an earlier start number");
+            applyAnnouncement(announcement);
+        } else if (journalRecord instanceof JournalRecord.StartAnnounced announcement) {
+            if (announcement.start() <= lastAnnouncedStart.getOrDefault(announcement.name(), 0)
+                    && runningProcess(announcement.name()) != null) {
+                throw violation("start " + announcement.start() + " of " + announcement.name()
+                        + " reuses an earlier start number");
             }
-            if (!declared.containsKey(i.name())) {
-                throw violation(i.name() + " is started although it is not declared");
+            if (!declared.containsKey(announcement.name())) {
+                throw violation(announcement.name() + " is started although it is not declared");
             }
-            checkBackoff(i);
-            applyAnnouncement(i);
-        } else if (journalRecord instanceof JournalRecord.ProcessEnded e) {
-            JournalRecord.ProcessEnded before = lastEndRecord.get(e.name());
-            if (e.failures() > (before == null ? 0 : before.failures()) + 1 && !diskWasFull && incarnation == 1) {
-                throw violation(e.name() + " counts " + e.failures() + " crashes after " + before);
+            checkBackoff(announcement);
+            applyAnnouncement(announcement);
+        } else if (journalRecord instanceof JournalRecord.ProcessEnded ended) {
+            JournalRecord.ProcessEnded before = lastEndRecord.get(ended.name());
+            if (ended.failures() > (before == null ? 0 : before.failures()) + 1 && !diskWasFull && incarnation == 1) {
+                throw violation(ended.name() + " counts " + ended.failures() + " crashes after " + before);
             }
-            if (e.code() == Supervisor.NAME_HELD_EXIT_CODE
+            if (ended.code() == Supervisor.NAME_HELD_EXIT_CODE
                     && before != null
                     && !diskWasFull
-                    && e.failures() > before.failures()) {
-                throw violation(e.name() + " counts a held name as a crash: " + e + " after " + before);
+                    && ended.failures() > before.failures()) {
+                throw violation(ended.name() + " counts a held name as a crash: " + ended + " after " + before);
             }
-            lastEndRecord.put(e.name(), e);
-            lastEndMs.put(e.name(), timeMs);
-            lastExitCode.put(e.name(), e.code());
-        } else if (journalRecord instanceof JournalRecord.RollingRestartBegun r) {
-            rollingRestart = r;
+            lastEndRecord.put(ended.name(), ended);
+            lastEndMs.put(ended.name(), timeMs);
+            lastExitCode.put(ended.name(), ended.code());
+        } else if (journalRecord instanceof JournalRecord.RollingRestartBegun begun) {
+            rollingRestart = begun;
             restarting.clear();
             unrecordedRestarts.clear();
-        } else if (journalRecord instanceof JournalRecord.RollingRestartInstanceBegun t) {
-            if (rollingRestart == null || rollingRestart.id() != t.id()) {
-                throw violation("restarts " + t.name() + " for a rolling restart that has ended");
+        } else if (journalRecord instanceof JournalRecord.RollingRestartInstanceBegun instanceBegun) {
+            if (rollingRestart == null || rollingRestart.id() != instanceBegun.id()) {
+                throw violation("restarts " + instanceBegun.name() + " for a rolling restart that has ended");
             }
-            restarting.put(t.name(), t.start());
-            lastEndRecord.remove(t.name());
+            restarting.put(instanceBegun.name(), instanceBegun.start());
+            lastEndRecord.remove(instanceBegun.name());
             if (restarting.size() - unrecordedRestarts.size() > rollingRestart.mostDown()) {
                 throw violation(restarting.keySet() + " are restarted at once, limit " + rollingRestart.mostDown());
             }
-        } else if (journalRecord instanceof JournalRecord.RollingRestartInstanceDone d) {
-            SimulatedProcess p = runningProcess(d.name());
-            Integer before = restarting.remove(d.name());
-            if (before == null || lastAnnouncedStart.get(d.name()) <= before || p != null && !p.everReady) {
-                throw violation(d.name() + " is recorded as restarted but is not");
+        } else if (journalRecord instanceof JournalRecord.RollingRestartInstanceDone instanceDone) {
+            SimulatedProcess process = runningProcess(instanceDone.name());
+            Integer before = restarting.remove(instanceDone.name());
+            if (before == null
+                    || lastAnnouncedStart.get(instanceDone.name()) <= before
+                    || process != null && !process.everReady) {
+                throw violation(instanceDone.name() + " is recorded as restarted but is not");
             }
-        } else if (journalRecord instanceof JournalRecord.RollingRestartEnded r) {
-            if (r.why().isEmpty()) {
+        } else if (journalRecord instanceof JournalRecord.RollingRestartEnded rollingRestartEnded) {
+            if (rollingRestartEnded.why().isEmpty()) {
                 rollingRestartsDone++;
                 if (restarting.size() > unrecordedRestarts.size()) {
                     throw violation("rolling restart is recorded as done, but " + restarting.keySet() + " are not");
@@ -482,28 +491,29 @@
         }
     }
 
-    private void applyAnnouncement(JournalRecord.StartAnnounced i) {
-        lastAnnouncedStart.put(i.name(), i.start());
-        announcedSecret.put(i.name(), i.secret());
-        secrets.put(i.name() + "/" + i.start(), i.secret());
+    private void applyAnnouncement(JournalRecord.StartAnnounced announcement) {
+        lastAnnouncedStart.put(announcement.name(), announcement.start());
+        announcedSecret.put(announcement.name(), announcement.secret());
+        secrets.put(announcement.name() + "/" + announcement.start(), announcement.secret());
     }
 
-    private void checkBackoff(JournalRecord.StartAnnounced i) {
-        JournalRecord.ProcessEnded e = lastEndRecord.get(i.name());
-        if (e == null || e.failures() == 0) {
+    private void checkBackoff(JournalRecord.StartAnnounced announcement) {
+        JournalRecord.ProcessEnded lastEnd = lastEndRecord.get(announcement.name());
+        if (lastEnd == null || lastEnd.failures() == 0) {
             return;
         }
-        SupervisionPolicy p = policies.get(i.name());
-        if (e.failures() >= p.giveUpAfter()) {
-            throw violation(i.name() + " is started after it was given up: " + e);
+        SupervisionPolicy policy = policies.get(announcement.name());
+        if (lastEnd.failures() >= policy.giveUpAfter()) {
+            throw violation(announcement.name() + " is started after it was given up: " + lastEnd);
         }
-        long wait = Math.min(p.backoffMostMs(), p.backoffMs() * (1L << (e.failures() - 1)));
-        if (e.code() != UNKNOWN_EXIT_CODE
-                && e.code() != Supervisor.NAME_HELD_EXIT_CODE
-                && !wasTerminated(i.name())
-                && timeMs - lastEndMs.get(i.name()) < wait) {
-            throw violation(i.name() + " is started " + (timeMs - lastEndMs.get(i.name())) + " ms after crash "
-                    + e.failures() + ", not " + wait);
+        long backoffMs = Math.min(policy.backoffMostMs(), policy.backoffMs() * (1L << (lastEnd.failures() - 1)));
+        if (lastEnd.code() != UNKNOWN_EXIT_CODE
+                && lastEnd.code() != Supervisor.NAME_HELD_EXIT_CODE
+                && !wasTerminated(announcement.name())
+                && timeMs - lastEndMs.get(announcement.name()) < backoffMs) {
+            throw violation(announcement.name() + " is started "
+                    + (timeMs - lastEndMs.get(announcement.name())) + " ms after crash " + lastEnd.failures() + ", not "
+                    + backoffMs);
         }
     }
 
@@ -511,8 +521,8 @@
 
     private boolean wasTerminated(String name) {
         SimulatedProcess last = null;
-        for (SimulatedProcess p : processes) {
-            last = p.name.equals(name) ? p : last;
+        for (SimulatedProcess process : processes) {
+            last = process.name.equals(name) ? process : last;
         }
         return last == null || last.receivedSigterm;
     }
@@ -529,63 +539,64 @@
         if (lastAnnouncedStart.getOrDefault(name, 0) != start || !secret.equals(announcedSecret.get(name))) {
             throw violation("spawn of " + name + " " + start + " without its announcement");
         }
-        for (SimulatedProcess p : processes) {
-            if (p.name.equals(name) && !p.dead && !p.untracked) {
-                throw violation("spawn of " + name + " " + start + " while start " + p.start + " exists");
+        for (SimulatedProcess process : processes) {
+            if (process.name.equals(name) && !process.dead && !process.untracked) {
+                throw violation("spawn of " + name + " " + start + " while start " + process.start + " exists");
             }
         }
         starts++;
-        SimulatedProcess p = new SimulatedProcess();
-        p.name = name;
-        p.start = start;
-        p.secret = secret;
-        p.agentIncarnation = incarnation;
+        SimulatedProcess process = new SimulatedProcess();
+        process.name = name;
+        process.start = start;
+        process.secret = secret;
+        process.agentIncarnation = incarnation;
         configurationFiles.put(name, declared.get(name).configuration());
         if (faultOccurs(FaultKind.CRASH, 0.02)) {
             scheduleForAgent(latencyMs(30), () -> agent.spawnFailed(now(), name, start, "no memory"));
         } else {
-            processes.add(p);
+            processes.add(process);
             long fork = faultOccurs(FaultKind.LATE, 0.2)
                     ? random.nextInt((int) policies.get(name).forkMs() - 20)
                     : 1 + random.nextInt(10);
-            schedule(fork, () -> fork(p));
+            schedule(fork, () -> fork(process));
         }
         deathPoint("after spawn");
     }
 
-    private void fork(SimulatedProcess p) {
-        if (!processes.contains(p)) {
+    private void fork(SimulatedProcess process) {
+        if (!processes.contains(process)) {
             return;
         }
-        if (p.forkDelayMs > 0) {
-            schedule(p.forkDelayMs, () -> fork(p));
-            p.forkDelayMs = 0;
+        if (process.forkDelayMs > 0) {
+            schedule(process.forkDelayMs, () -> fork(process));
+            process.forkDelayMs = 0;
             return;
         }
-        p.identity = new UniqueProcessId(pid(), timeMs, "boot");
-        p.forked = true;
-        log("forked " + p.name + " " + p.start + ", " + p.identity);
-        if (agent != null && incarnation == p.agentIncarnation) {
-            observedProcesses.add(p);
+        process.identity = new UniqueProcessId(pid(), timeMs, "boot");
+        process.forked = true;
+        log("forked " + process.name + " " + process.start + ", " + process.identity);
+        if (agent != null && incarnation == process.agentIncarnation) {
+            observedProcesses.add(process);
             int before = incarnation;
             scheduleForAgent(latencyMs(20), () -> {
                 if (before == incarnation) {
-                    agent.spawned(now(), p.name, p.start, p.identity);
+                    agent.spawned(now(), process.name, process.start, process.identity);
                 }
             });
             if (faultOccurs(FaultKind.TWICE, 0.02)) {
-                scheduleForAgent(latencyMs(900), () -> agent.spawned(now(), p.name, p.start, p.identity));
+                scheduleForAgent(
+                        latencyMs(900), () -> agent.spawned(now(), process.name, process.start, process.identity));
             }
         }
-        schedule(5 + random.nextInt(100), () -> lock(p));
-        if (faultOccurs(FaultKind.CRASH, crashProbability.get(p.name) / 2)) {
-            schedule(random.nextInt(300), () -> crash(p));
+        schedule(5 + random.nextInt(100), () -> lock(process));
+        if (faultOccurs(FaultKind.CRASH, crashProbability.get(process.name) / 2)) {
+            schedule(random.nextInt(300), () -> crash(process));
         }
         if (faultOccurs(FaultKind.HANG, 0.02)) {
-            schedule(random.nextInt(900), () -> suspend(p));
+            schedule(random.nextInt(900), () -> suspend(process));
         }
-        p.ignoresSigterm = faultOccurs(FaultKind.IGNORE, 0.1);
-        if (agent != null && incarnation == p.agentIncarnation) {
+        process.ignoresSigterm = faultOccurs(FaultKind.IGNORE, 0.1);
+        if (agent != null && incarnation == process.agentIncarnation) {
             deathPoint("after fork");
         }
     }
@@ -593,8 +604,8 @@
     private long pid() {
         Set<Long> used = new HashSet<>();
         processes.stream()
-                .filter(p -> p.isRunning() || p.forked && p.identity.startTicks() == timeMs)
-                .forEach(p -> used.add(p.identity.pid()));
+                .filter(process -> process.isRunning() || process.forked && process.identity.startTicks() == timeMs)
+                .forEach(process -> used.add(process.identity.pid()));
         long pid = 1;
         while (used.contains(pid)) {
             pid++;
@@ -602,111 +613,111 @@
         return pid;
     }
 
-    private void lock(SimulatedProcess p) {
-        if (!p.isRunning()) {
+    private void lock(SimulatedProcess process) {
+        if (!process.isRunning()) {
             return;
         }
-        if (p.suspended) {
-            schedule(50, () -> lock(p));
+        if (process.suspended) {
+            schedule(50, () -> lock(process));
             return;
         }
         for (SimulatedProcess other : processes) {
-            if (other != p && other.isRunning() && other.holdsLock && other.name.equals(p.name)) {
-                if (p.everUntracked || other.everUntracked) {
+            if (other != process && other.isRunning() && other.holdsLock && other.name.equals(process.name)) {
+                if (process.everUntracked || other.everUntracked) {
                     namesHeld++;
                 } else {
                     lockRefusals++;
                 }
-                end(p, Supervisor.NAME_HELD_EXIT_CODE);
+                exit(process, Supervisor.NAME_HELD_EXIT_CODE);
                 return;
             }
         }
-        p.holdsLock = true;
-        p.digest = configurationFiles.get(p.name);
-        if (invalidConfigurations.contains(p.name + p.digest)) {
-            schedule(random.nextInt(100), () -> end(p, 2));
+        process.holdsLock = true;
+        process.digest = configurationFiles.get(process.name);
+        if (invalidConfigurations.contains(process.name + process.digest)) {
+            schedule(random.nextInt(100), () -> exit(process, 2));
             return;
         }
-        schedule(random.nextInt(200), () -> p.controlChannelOpen = true);
+        schedule(random.nextInt(200), () -> process.controlChannelOpen = true);
         if (!faultOccurs(FaultKind.NEVER_READY, 0.1)) {
-            schedule(200 + random.nextInt(random.nextInt(4) == 0 ? 2000 : 300), () -> becomeReady(p));
+            schedule(200 + random.nextInt(random.nextInt(4) == 0 ? 2000 : 300), () -> becomeReady(process));
         }
     }
 
-    private void becomeReady(SimulatedProcess p) {
-        if (p.suspended) {
-            schedule(50, () -> becomeReady(p));
+    private void becomeReady(SimulatedProcess process) {
+        if (process.suspended) {
+            schedule(50, () -> becomeReady(process));
             return;
         }
-        p.controlChannelOpen = true;
-        if (p.draining) {
+        process.controlChannelOpen = true;
+        if (process.draining) {
             return;
         }
-        p.ready = true;
-        if (faultOccurs(FaultKind.CRASH, crashProbability.get(p.name))) {
-            schedule(random.nextInt(4000), () -> crash(p));
+        process.ready = true;
+        if (faultOccurs(FaultKind.CRASH, crashProbability.get(process.name))) {
+            schedule(random.nextInt(4000), () -> crash(process));
         }
     }
 
-    private void crash(SimulatedProcess p) {
-        if (!faultsEnded && p.isRunning()) {
+    private void crash(SimulatedProcess process) {
+        if (!faultsEnded && process.isRunning()) {
             int code = 1 + random.nextInt(5);
-            end(p, code == Supervisor.NAME_HELD_EXIT_CODE ? 139 : code);
+            exit(process, code == Supervisor.NAME_HELD_EXIT_CODE ? 139 : code);
         }
     }
 
-    private void end(SimulatedProcess p, int code) {
-        if (!p.isRunning()) {
+    private void exit(SimulatedProcess process, int code) {
+        if (!process.isRunning()) {
             return;
         }
-        log("ends " + p.name + " " + p.start + ", code " + code);
-        p.dead = true;
-        p.code = code;
-        reportEnd(p);
+        log("ends " + process.name + " " + process.start + ", code " + code);
+        process.dead = true;
+        process.code = code;
+        reportEnd(process);
     }
 
-    private void reportEnd(SimulatedProcess p) {
-        if (agent != null && observedProcesses.contains(p)) {
-            int code = p.agentIncarnation == incarnation ? p.code : -1;
-            scheduleForAgent(latencyMs(100), () -> agent.processEnded(now(), p.name, p.start, code));
+    private void reportEnd(SimulatedProcess process) {
+        if (agent != null && observedProcesses.contains(process)) {
+            int code = process.agentIncarnation == incarnation ? process.code : -1;
+            scheduleForAgent(latencyMs(100), () -> agent.processEnded(now(), process.name, process.start, code));
             if (faultOccurs(FaultKind.TWICE, 0.1)) {
-                scheduleForAgent(latencyMs(2500), () -> agent.processEnded(now(), p.name, p.start, code));
+                scheduleForAgent(latencyMs(2500), () -> agent.processEnded(now(), process.name, process.start, code));
             }
         }
     }
 
-    private void suspend(SimulatedProcess p) {
-        if (faultsEnded || !p.isRunning()) {
+    private void suspend(SimulatedProcess process) {
+        if (faultsEnded || !process.isRunning()) {
             return;
         }
-        log("SIGSTOP " + p.name);
-        p.suspended = true;
-        markUnresponsive(p);
+        log("SIGSTOP " + process.name);
+        process.suspended = true;
+        markUnresponsive(process);
         if (random.nextBoolean()) {
-            schedule(random.nextInt(6000), () -> resume(p));
+            schedule(random.nextInt(6000), () -> resume(process));
         }
     }
 
-    private void resume(SimulatedProcess p) {
-        if (p.isRunning() && p.suspended) {
-            log("SIGCONT " + p.name);
-            p.suspended = false;
-            markResponsive(p);
-            if (p.receivedSigterm && !p.ignoresSigterm) {
-                drain(p);
+    private void resume(SimulatedProcess process) {
+        if (process.isRunning() && process.suspended) {
+            log("SIGCONT " + process.name);
+            process.suspended = false;
+            markResponsive(process);
+            if (process.receivedSigterm && !process.ignoresSigterm) {
+                drain(process);
             }
         }
     }
 
-    private void markUnresponsive(SimulatedProcess p) {
-        if (p.unresponsiveSinceMs < 0 && p.everReady) {
-            p.unresponsiveSinceMs = timeMs;
+    private void markUnresponsive(SimulatedProcess process) {
+        if (process.unresponsiveSinceMs < 0 && process.everReady) {
+            process.unresponsiveSinceMs = timeMs;
         }
     }
 
-    private void markResponsive(SimulatedProcess p) {
-        if (!p.suspended && p.servesClients) {
-            p.unresponsiveSinceMs = -1;
+    private void markResponsive(SimulatedProcess process) {
+        if (!process.suspended && process.servesClients) {
+            process.unresponsiveSinceMs = -1;
         }
     }
 
@@ -726,12 +737,12 @@
         int searchDelayMs = latencyMs(30);
         scheduleForAgent(searchDelayMs, () -> {
             SimulatedProcess found = null;
-            for (SimulatedProcess p : processes) {
-                if (p.isRunning()
+            for (SimulatedProcess process : processes) {
+                if (process.isRunning()
                         && (identity != null
-                                ? p.identity.equals(identity)
-                                : p.name.equals(name) && p.secret.equals(secret))) {
-                    found = p;
+                                ? process.identity.equals(identity)
+                                : process.name.equals(name) && process.secret.equals(secret))) {
+                    found = process;
                 }
             }
             if (found != null && identity != null && faultOccurs(FaultKind.UNSEEN, 0.02)) {
@@ -762,12 +773,12 @@
         if (identity == null) {
             throw violation(what + " of " + name + " without a process");
         }
-        for (SimulatedProcess p : processes) {
-            if (p.forked && p.identity.equals(identity)) {
-                if (!p.name.equals(name) || p.start != lastAnnouncedStart.get(name)) {
-                    throw violation(what + " for " + name + " hits start " + p.start + " of " + p.name);
+        for (SimulatedProcess process : processes) {
+            if (process.forked && process.identity.equals(identity)) {
+                if (!process.name.equals(name) || process.start != lastAnnouncedStart.get(name)) {
+                    throw violation(what + " for " + name + " hits start " + process.start + " of " + process.name);
                 }
-                return p;
+                return process;
             }
         }
         throw violation(what + " of " + name + ": no process ever had identity " + identity);
@@ -777,32 +788,32 @@
     public void terminate(String name, UniqueProcessId identity) {
         deathPoint("before terminate");
         log("SIGTERM " + name);
-        SimulatedProcess p = processOf(name, identity, "SIGTERM");
-        if (p.sigtermSentMs < 0) {
-            p.sigtermSentMs = timeMs;
+        SimulatedProcess process = processOf(name, identity, "SIGTERM");
+        if (process.sigtermSentMs < 0) {
+            process.sigtermSentMs = timeMs;
         }
         schedule(random.nextInt(30), () -> {
-            if (p.isRunning()) {
-                p.receivedSigterm = true;
-                if (!p.suspended && !p.ignoresSigterm) {
-                    drain(p);
+            if (process.isRunning()) {
+                process.receivedSigterm = true;
+                if (!process.suspended && !process.ignoresSigterm) {
+                    drain(process);
                 }
             }
         });
         deathPoint("after terminate");
     }
 
-    private void drain(SimulatedProcess p) {
-        p.ready = false;
-        p.draining = true;
-        schedule(10 + random.nextInt(1000), () -> endDrained(p));
+    private void drain(SimulatedProcess process) {
+        process.ready = false;
+        process.draining = true;
+        schedule(10 + random.nextInt(1000), () -> exitDrained(process));
     }
 
-    private void endDrained(SimulatedProcess p) {
-        if (p.suspended) {
-            schedule(50, () -> endDrained(p));
+    private void exitDrained(SimulatedProcess process) {
+        if (process.suspended) {
+            schedule(50, () -> exitDrained(process));
         } else {
-            end(p, 0);
+            exit(process, 0);
         }
     }
 
@@ -810,14 +821,14 @@
     public void kill(String name, UniqueProcessId identity) {
         deathPoint("before kill");
         log("SIGKILL " + name);
-        SimulatedProcess p = processOf(name, identity, "SIGKILL");
+        SimulatedProcess process = processOf(name, identity, "SIGKILL");
         Instance instance = agent.instance(name);
         long after = policies.get(name).killAfterMs();
         if (after < 0 || instance.state() != InstanceState.HUNG || now() - instance.stateSinceMs() < after) {
             throw violation("SIGKILL for " + name + ", " + instance.state() + ", its policy says " + after);
         }
         kills++;
-        schedule(random.nextInt(30), () -> end(p, 137));
+        schedule(random.nextInt(30), () -> exit(process, 137));
         deathPoint("after kill");
     }
 
@@ -829,22 +840,22 @@
             return;
         }
         scheduleForAgent(latencyMs(10), () -> {
-            SimulatedProcess p = runningProcess(name);
-            if (p == null || p.start != start || !p.controlChannelOpen && !p.suspended) {
+            SimulatedProcess process = runningProcess(name);
+            if (process == null || process.start != start || !process.controlChannelOpen && !process.suspended) {
                 scheduleForAgent(latencyMs(10), () -> agent.probeFailed(now(), name, start, "nobody listens"));
-            } else if (p.suspended) {
+            } else if (process.suspended) {
                 scheduleForAgent(PROBE_TIMEOUT_MS, () -> agent.probeFailed(now(), name, start, "no answer"));
             } else {
-                boolean ready = p.ready;
-                String digest = p.digest;
-                String notServing = p.servesClients ? "" : "mn is not answered";
+                boolean ready = process.ready;
+                String digest = process.digest;
+                String notServing = process.servesClients ? "" : "mn is not answered";
                 scheduleForAgent(latencyMs(10), () -> {
-                    p.everReady |= ready;
+                    process.everReady |= ready;
                     agent.probed(now(), name, start, ready, notServing, digest);
                 });
                 if (faultOccurs(FaultKind.TWICE, 0.02)) {
                     scheduleForAgent(latencyMs(900), () -> {
-                        p.everReady |= ready;
+                        process.everReady |= ready;
                         agent.probed(now(), name, start, ready, notServing, digest);
                     });
                 }
@@ -860,16 +871,16 @@
         log("reload " + name);
         configurationFiles.put(name, declared.get(name) == null ? "" : declared.get(name).configuration());
         scheduleForAgent(latencyMs(60), () -> {
-            SimulatedProcess p = runningProcess(name);
-            if (p == null || p.start != start || !p.controlChannelOpen || p.suspended) {
+            SimulatedProcess process = runningProcess(name);
+            if (process == null || process.start != start || !process.controlChannelOpen || process.suspended) {
                 scheduleForAgent(500, () -> agent.reloadFailed(now(), name, start, "no answer"));
                 return;
             }
             String file = configurationFiles.get(name);
             boolean taken = !invalidConfigurations.contains(name + file);
-            p.digest = taken ? file : p.digest;
+            process.digest = taken ? file : process.digest;
             log(name + (taken ? " takes " : " refuses ") + file);
-            String digest = p.digest;
+            String digest = process.digest;
             scheduleForAgent(
                     latencyMs(60), () -> agent.reloaded(now(), name, start, taken, taken ? "" : "line 1", digest));
         });
@@ -890,23 +901,23 @@
             return;
         }
         schedule(100 + random.nextInt(900), this::injectFaults);
-        SimulatedProcess p = processes.isEmpty() ? null : processes.get(random.nextInt(processes.size()));
-        if (p != null && faultOccurs(FaultKind.HANG, 0.06)) {
-            suspend(p);
-        }
-        if (p != null && p.isRunning() && faultOccurs(FaultKind.HANG, 0.06)) {
-            log("serves nobody: " + p.name);
-            p.servesClients = false;
-            markUnresponsive(p);
+        SimulatedProcess process = processes.isEmpty() ? null : processes.get(random.nextInt(processes.size()));
+        if (process != null && faultOccurs(FaultKind.HANG, 0.06)) {
+            suspend(process);
+        }
+        if (process != null && process.isRunning() && faultOccurs(FaultKind.HANG, 0.06)) {
+            log("serves nobody: " + process.name);
+            process.servesClients = false;
+            markUnresponsive(process);
             if (random.nextBoolean()) {
                 schedule(random.nextInt(5000), () -> {
-                    p.servesClients = true;
-                    markResponsive(p);
+                    process.servesClients = true;
+                    markResponsive(process);
                 });
             }
         }
-        if (p != null && faultOccurs(FaultKind.CRASH, 0.05)) {
-            crash(p);
+        if (process != null && faultOccurs(FaultKind.CRASH, 0.05)) {
+            crash(process);
         }
         if (faultOccurs(FaultKind.DISK, 0.04) && !diskFull) {
             log("disk full");
@@ -1040,14 +1051,14 @@
         faultsEnded = true;
         diskFull = false;
         armedDeathPoint = null;
-        for (SimulatedProcess p : List.copyOf(processes)) {
-            p.servesClients = true;
-            p.ignoresSigterm = false;
-            boolean wasSuspended = p.suspended;
-            resume(p);
-            markResponsive(p);
-            if (p.isRunning() && p.receivedSigterm && !p.draining && !wasSuspended) {
-                drain(p);
+        for (SimulatedProcess process : List.copyOf(processes)) {
+            process.servesClients = true;
+            process.ignoresSigterm = false;
+            boolean wasSuspended = process.suspended;
+            resume(process);
+            markResponsive(process);
+            if (process.isRunning() && process.receivedSigterm && !process.draining && !wasSuspended) {
+                drain(process);
             }
         }
     }
@@ -1056,9 +1067,9 @@
 
     private SimulatedProcess runningProcess(String name) {
         SimulatedProcess found = null;
-        for (SimulatedProcess p : processes) {
-            if (p.isRunning() && p.name.equals(name) && (found == null || !found.holdsLock)) {
-                found = p;
+        for (SimulatedProcess process : processes) {
+            if (process.isRunning() && process.name.equals(name) && (found == null || !found.holdsLock)) {
+                found = process;
             }
         }
         return found;
@@ -1066,42 +1077,45 @@
 
     private void checkRules() {
         if (processes.size() > 40) {
-            processes.removeIf(p -> p.dead && !observedProcesses.contains(p));
+            processes.removeIf(process -> process.dead && !observedProcesses.contains(process));
         }
         Set<String> lockedNames = new HashSet<>();
-        for (SimulatedProcess p : processes) {
-            if (p.dead) {
+        for (SimulatedProcess process : processes) {
+            if (process.dead) {
                 continue;
             }
-            if (p.holdsLock && !lockedNames.add(p.name)) {
-                throw violation("two processes of " + p.name);
+            if (process.holdsLock && !lockedNames.add(process.name)) {
+                throw violation("two processes of " + process.name);
             }
-            if (agent == null || p.untracked) {
+            if (agent == null || process.untracked) {
                 continue;
             }
-            Instance instance = agent.instance(p.name);
+            Instance instance = agent.instance(process.name);
             if (instance == null || !instance.state().mayRun()) {
-                throw violation(
-                        p.name + " is " + (instance == null ? "dropped" : instance.state()) + " but its process runs");
+                throw violation(process.name + " is " + (instance == null ? "dropped" : instance.state())
+                        + " but its process runs");
             }
-            if (!p.forked) {
+            if (!process.forked) {
                 continue;
             }
             // an agent started after the removal of an instance does not know its policy
-            SupervisionPolicy policy = declared.containsKey(p.name) ? policies.get(p.name) : SupervisionPolicy.USUAL;
-            if (p.unresponsiveSinceMs >= 0
-                    && !p.draining
+            SupervisionPolicy policy =
+                    declared.containsKey(process.name) ? policies.get(process.name) : SupervisionPolicy.USUAL;
+            if (process.unresponsiveSinceMs >= 0
+                    && !process.draining
                     && !instance.searching // a lost search is repeated only after a delay
                     && instance.state() != InstanceState.HUNG
                     && instance.state() != InstanceState.STOPPING
-                    && timeMs - Math.max(p.unresponsiveSinceMs, agentStartedMs)
+                    && timeMs - Math.max(process.unresponsiveSinceMs, agentStartedMs)
                             > policy.hungAfterMs() * 2 + HUNG_TOLERANCE_MS) {
-                throw violation(p.name + " is " + instance.state() + ", unresponsive since " + p.unresponsiveSinceMs);
+                throw violation(process.name + " is " + instance.state() + ", unresponsive since "
+                        + process.unresponsiveSinceMs);
             }
-            if (p.sigtermSentMs >= 0
+            if (process.sigtermSentMs >= 0
                     && instance.state() != InstanceState.HUNG
-                    && timeMs - p.sigtermSentMs > policy.stopWithinMs() + 2 * TICK_MS) {
-                throw violation(p.name + " is " + instance.state() + ", SIGTERM was sent at " + p.sigtermSentMs);
+                    && timeMs - process.sigtermSentMs > policy.stopWithinMs() + 2 * TICK_MS) {
+                throw violation(process.name + " is " + instance.state() + ", SIGTERM was sent at "
+                        + process.sigtermSentMs);
             }
         }
     }
@@ -1120,11 +1134,11 @@
             }
         }
         for (String name : names) {
-            SimulatedProcess p = runningProcess(name);
+            SimulatedProcess process = runningProcess(name);
             Instance instance = agent.instance(name);
             InstanceSpec spec = declared.get(name);
             if (spec == null) {
-                if (p != null && !p.untracked) {
+                if (process != null && !process.untracked) {
                     return name + " runs but is not declared";
                 }
                 continue;
@@ -1138,20 +1152,20 @@
                 return name + " wanted running: " + instance.wanted() + ", requested: " + running;
             }
             if (!running) {
-                if (p != null && !p.untracked
+                if (process != null && !process.untracked
                         || instance.state() != InstanceState.STOPPED && instance.state() != InstanceState.DECLARED) {
                     return name + " should be stopped but is " + instance.state();
                 }
             } else if (instance.state() == InstanceState.GIVEN_UP) {
-                if (p != null && !p.untracked
+                if (process != null && !process.untracked
                         || instance.consecutiveCrashes() < policies.get(name).giveUpAfter()) {
                     return name + " is given up after " + instance.consecutiveCrashes();
                 }
-            } else if (instance.state() != InstanceState.READY || p == null || !p.ready) {
+            } else if (instance.state() != InstanceState.READY || process == null || !process.ready) {
                 return name + " is " + instance.state() + " " + instance.fault();
-            } else if (!p.digest.equals(spec.configuration())
+            } else if (!process.digest.equals(spec.configuration())
                     && instance.refusalReason().isEmpty()) {
-                return name + " has " + p.digest + " instead of " + spec.configuration();
+                return name + " has " + process.digest + " instead of " + spec.configuration();
             }
         }
         return "";
