--- a/fleet/src/main/java/cacheproxy/agent/Agent.java
+++ b/fleet/src/main/java/cacheproxy/agent/Agent.java
@@ -287,8 +287,8 @@
                 () -> {
                     Failpoint.pass("before-fork");
                     try {
-                        UniqueProcessId process = launcher.launch(
-                                instanceDeclaration, start, secret, code -> ended(name, start, code));
+                        UniqueProcessId process =
+                                launcher.launch(instanceDeclaration, start, secret, code -> ended(name, start, code));
                         Failpoint.pass("after-fork");
                         onSupervisorThread(() -> supervisor.spawned(now(), name, start, process));
                     } catch (IOException e) {
--- a/fleet/src/main/java/cacheproxy/agent/AgentApi.java
+++ b/fleet/src/main/java/cacheproxy/agent/AgentApi.java
@@ -55,12 +55,14 @@
                         "site", site.name(), "instances", site.instances().size()));
             }
             case "apply" -> apply(request, reply);
-            case "start" -> applyToEach(
-                    request, reply, name -> agent.supervisor().setDesiredState(agent.now(), name, true));
-            case "stop" -> applyToEach(
-                    request, reply, name -> agent.supervisor().setDesiredState(agent.now(), name, false));
-            case "restart" -> applyToEach(request, reply, name -> agent.supervisor().restart(agent.now(), name));
-            case "reload" -> applyToEach(request, reply, name -> agent.supervisor().reload(agent.now(), name));
+            case "start" ->
+                applyToEach(request, reply, name -> agent.supervisor().setDesiredState(agent.now(), name, true));
+            case "stop" ->
+                applyToEach(request, reply, name -> agent.supervisor().setDesiredState(agent.now(), name, false));
+            case "restart" ->
+                applyToEach(request, reply, name -> agent.supervisor().restart(agent.now(), name));
+            case "reload" ->
+                applyToEach(request, reply, name -> agent.supervisor().reload(agent.now(), name));
             case "roll" -> roll(request, reply);
             case "events" -> {
                 boolean follow = Boolean.TRUE.equals(request.get("follow"));
--- a/fleet/src/main/java/cacheproxy/agent/Journal.java
+++ b/fleet/src/main/java/cacheproxy/agent/Journal.java
@@ -161,7 +161,7 @@
     void append(JournalRecord journalRecord) throws IOException {
         byte[] line = line(toFields(journalRecord));
         if (line.length > MAX_LINE_BYTES) {
-            throw new IOException("a record of " + line.length + " bytes is too long");
+            throw new IOException("an entry of " + line.length + " bytes");
         }
         write(line);
     }
@@ -308,9 +308,8 @@
         } catch (ClassCastException | NullPointerException e) {
             // reported below
         }
-        throw new InvalidInputException(
-                "the journal " + file + " has an entry in line " + line + " that is not known here: "
-                        + fields.keySet());
+        throw new InvalidInputException("the journal " + file + " has an entry in line " + line
+                + " that is not known here: " + fields.keySet());
     }
 
     private static int number(Map<String, Object> fields, String field) {
--- a/fleet/src/main/java/cacheproxy/agent/ProcFs.java
+++ b/fleet/src/main/java/cacheproxy/agent/ProcFs.java
@@ -22,7 +22,8 @@
         this.proc = proc;
         String bootIdText;
         try {
-            bootIdText = Files.readString(proc.resolve("sys/kernel/random/boot_id")).strip();
+            bootIdText =
+                    Files.readString(proc.resolve("sys/kernel/random/boot_id")).strip();
         } catch (IOException e) {
             bootIdText = "unknown";
         }
--- a/fleet/src/main/java/cacheproxy/agent/StateFolder.java
+++ b/fleet/src/main/java/cacheproxy/agent/StateFolder.java
@@ -54,9 +54,8 @@
             }
             String actualMode = PosixFilePermissions.toString(Files.getPosixFilePermissions(folder));
             if (!actualMode.endsWith("------")) {
-                throw new InvalidInputException(
-                        "the state folder " + folder + " is accessible to other users (" + actualMode
-                                + "): it must have mode 700");
+                throw new InvalidInputException("the state folder " + folder + " is accessible to other users ("
+                        + actualMode + "): it must have mode 700");
             }
             String owner = Files.getOwner(folder).getName();
             if (!owner.equals(System.getProperty("user.name"))) {
--- a/fleet/src/test/java/cacheproxy/agent/AgentKillTest.java
+++ b/fleet/src/test/java/cacheproxy/agent/AgentKillTest.java
@@ -36,7 +36,8 @@
         Map<String, Long> pids = new TreeMap<>();
         rig.observer
                 .scan()
-                .forEach((name, instancePids) -> pids.put(name, instancePids.iterator().next()));
+                .forEach((name, instancePids) ->
+                        pids.put(name, instancePids.iterator().next()));
         return pids;
     }
 
--- a/fleet/src/test/java/cacheproxy/agent/AgentMeasurement.java
+++ b/fleet/src/test/java/cacheproxy/agent/AgentMeasurement.java
@@ -9,8 +9,8 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Measures the figures about the agent that are given in docs/. Run by hand:
- * {@code AgentMeasurement [INSTANCES [OPTION OF ITS JVM ...]]}.
+ * Measures the figures about the agent that are given in docs/. Run by hand: {@code AgentMeasurement [INSTANCES [OPTION
+ * OF ITS JVM ...]]}.
  */
 final class AgentMeasurement {
     private static final long IDLE_MS = 20_000;
--- a/fleet/src/test/java/cacheproxy/agent/AgentRig.java
+++ b/fleet/src/test/java/cacheproxy/agent/AgentRig.java
@@ -303,8 +303,8 @@
         if (!observer.simultaneousProcesses().isEmpty()
                 || observed.size() != ports.length
                 || observed.values().stream().anyMatch(pids -> pids.size() != times)) {
-            throw new AssertionError("observed " + observed + ", at the same time "
-                    + observer.simultaneousProcesses() + "; " + diagnostics());
+            throw new AssertionError("observed " + observed + ", at the same time " + observer.simultaneousProcesses()
+                    + "; " + diagnostics());
         }
     }
 
--- a/fleet/src/test/java/cacheproxy/agent/AgentTest.java
+++ b/fleet/src/test/java/cacheproxy/agent/AgentTest.java
@@ -520,12 +520,14 @@
             String good = rig.group("p{i}", 0, 1, "");
             String bad = rig.group("p{i}", 1, 1, "").replace("\"tickMs\":5.0", "\"tickMs\":\"soon\"");
             rig.callOk("apply", "site", rig.site(good, bad));
-            rig.await("the configuration to be rejected", () -> rig.instance("p1").containsKey("refused"));
+            rig.await(
+                    "the configuration to be rejected", () -> rig.instance("p1").containsKey("refused"));
             assertTrue(String.valueOf(rig.instance("p1").get("refused")).contains("tickMs"), () -> rig.diagnostics());
             assertTrue(rig.allInState("ready"), () -> rig.diagnostics());
             assertFalse(rig.instance("p0").containsKey("refused"));
             rig.callOk("apply", "site", rig.site());
-            rig.await("no configuration to be rejected", () -> !rig.instance("p1").containsKey("refused"));
+            rig.await(
+                    "no configuration to be rejected", () -> !rig.instance("p1").containsKey("refused"));
             assertEquals(before, rig.pids());
             rig.assertStarts(1);
         }
--- a/fleet/src/test/java/cacheproxy/agent/EventLogTest.java
+++ b/fleet/src/test/java/cacheproxy/agent/EventLogTest.java
@@ -68,7 +68,9 @@
         List<EventLog.Event> all = events.from(1, Integer.MAX_VALUE);
         assertEquals(MAX_EVENTS_IN_MEMORY, all.size());
         assertEquals(11, all.get(0).number());
-        assertEquals("x" + (MAX_EVENTS_IN_MEMORY + 10), all.get(MAX_EVENTS_IN_MEMORY - 1).what());
+        assertEquals(
+                "x" + (MAX_EVENTS_IN_MEMORY + 10),
+                all.get(MAX_EVENTS_IN_MEMORY - 1).what());
         assertEquals(MAX_EVENTS_IN_MEMORY + 11, events.nextNumber());
         assertFalse(Files.exists(folder.resolve("none")));
     }
--- a/fleet/src/test/java/cacheproxy/agent/ListMeasurement.java
+++ b/fleet/src/test/java/cacheproxy/agent/ListMeasurement.java
@@ -129,9 +129,11 @@
 
     @SuppressWarnings("unchecked") // JSON objects in a reply have strings as keys
     private static Map<String, Object> reportedStatus(AgentRig rig) throws IOException {
-        List<?> instances = (List<?>) rig.callOk("status", "names", List.of("p0")).get("instances");
+        List<?> instances =
+                (List<?>) rig.callOk("status", "names", List.of("p0")).get("instances");
         Map<String, Object> reportedStatus = (Map<String, Object>) ((Map<?, ?>) instances.get(0)).get("told");
-        System.out.println("one tells of itself " + ControlCodec.encode(reportedStatus).length() + " bytes");
+        System.out.println(
+                "one tells of itself " + ControlCodec.encode(reportedStatus).length() + " bytes");
         return reportedStatus;
     }
 
--- a/fleet/src/test/java/cacheproxy/supervise/NameHolderSearchTest.java
+++ b/fleet/src/test/java/cacheproxy/supervise/NameHolderSearchTest.java
@@ -175,7 +175,10 @@
         supervisor.searchCompleted(now, "a", 1, null);
         assertNull(a());
         assertEquals(
-                1, actions.loggedEvents.stream().filter(s -> s.contains("forgotten")).count());
+                1,
+                actions.loggedEvents.stream()
+                        .filter(s -> s.contains("forgotten"))
+                        .count());
         declare(spec("a")); // unconfirmed starts are kept across the removal
         actions.takeActions();
         supervisor.processEnded(now, "a", 4, Supervisor.NAME_HELD_EXIT_CODE);
--- a/fleet/src/test/java/cacheproxy/supervise/SimulatedMachine.java
+++ b/fleet/src/test/java/cacheproxy/supervise/SimulatedMachine.java
@@ -95,6 +95,7 @@
         long forkDelayMs;
         /** The agent had to assume that the process ended, and has not adopted it since. */
         boolean untracked;
+
         boolean everUntracked;
 
         boolean isRunning() {
@@ -108,9 +109,8 @@
     private final Set<FaultKind> enabledFaults;
     private final long faultPhaseMs;
     private final StringBuilder record;
-    private final PriorityQueue<ScheduledTask> queue =
-            new PriorityQueue<>((a, b) ->
-                    a.dueMs != b.dueMs ? Long.compare(a.dueMs, b.dueMs) : Long.compare(a.order, b.order));
+    private final PriorityQueue<ScheduledTask> queue = new PriorityQueue<>(
+            (a, b) -> a.dueMs != b.dueMs ? Long.compare(a.dueMs, b.dueMs) : Long.compare(a.order, b.order));
     private long order;
     private long timeMs;
     private boolean faultsEnded;
@@ -132,6 +132,7 @@
     private final Set<SimulatedProcess> observedProcesses = new HashSet<>();
     /** The agent dies at the next point whose name contains this text, or at any point; null: it does not. */
     private String armedDeathPoint;
+
     private boolean diskFull;
     private boolean diskWasFull;
 
@@ -152,6 +153,7 @@
     private final Set<String> uncertainRequests = new HashSet<>();
     /** The instance that the current operator command is for; empty outside a command. */
     private String commandTarget = "";
+
     private JournalRecord.RollingRestartBegun rollingRestart;
     private final Map<String, Integer> restarting = new LinkedHashMap<>();
     /** Instances whose restart is complete but could not be written to the journal. */
@@ -352,8 +354,8 @@
             if (!process.forked && random.nextBoolean()) {
                 processes.remove(process); // the agent died before the fork
             } else if (!process.forked && faultOccurs(FaultKind.SLOW, 0.5)) {
-                process.forkDelayMs =
-                        3000 + random.nextInt(3 * (int) policies.get(process.name).forkMs());
+                process.forkDelayMs = 3000
+                        + random.nextInt(3 * (int) policies.get(process.name).forkMs());
                 markUntracked(process);
             }
         }
@@ -389,7 +391,8 @@
         deathPoint("before note " + kind);
         if (diskFull) {
             log("disk full: " + journalRecord);
-            if (journalRecord instanceof JournalRecord.DesiredStateSet w && !w.name().equals(commandTarget)) {
+            if (journalRecord instanceof JournalRecord.DesiredStateSet w
+                    && !w.name().equals(commandTarget)) {
                 uncertainRequests.add(w.name());
             }
             if (journalRecord instanceof JournalRecord.RollingRestartInstanceDone d) {
@@ -869,7 +872,8 @@
         deathPoint("before reload");
         requireLastStart(name, start, "reload");
         log("reload " + name);
-        configurationFiles.put(name, declared.get(name) == null ? "" : declared.get(name).configuration());
+        configurationFiles.put(
+                name, declared.get(name) == null ? "" : declared.get(name).configuration());
         scheduleForAgent(latencyMs(60), () -> {
             SimulatedProcess process = runningProcess(name);
             if (process == null || process.start != start || !process.controlChannelOpen || process.suspended) {
@@ -1114,8 +1118,8 @@
             if (process.sigtermSentMs >= 0
                     && instance.state() != InstanceState.HUNG
                     && timeMs - process.sigtermSentMs > policy.stopWithinMs() + 2 * TICK_MS) {
-                throw violation(process.name + " is " + instance.state() + ", SIGTERM was sent at "
-                        + process.sigtermSentMs);
+                throw violation(
+                        process.name + " is " + instance.state() + ", SIGTERM was sent at " + process.sigtermSentMs);
             }
         }
     }
