--- a/fleet/src/main/java/cacheproxy/agent/Agent.java
+++ b/fleet/src/main/java/cacheproxy/agent/Agent.java
@@ -180,7 +180,7 @@
         }
     }
 
-    /** Waits until the agent listens: if its address is in use, it ends and must not have started an instance. */
+    /** Waits until the agent listens, so that an agent whose address is in use exits without starting instances. */
     private void startSupervision() {
         try {
             listening.await();
--- a/fleet/src/main/java/cacheproxy/supervise/HealthCheckResults.java
+++ b/fleet/src/main/java/cacheproxy/supervise/HealthCheckResults.java
@@ -42,7 +42,7 @@
             boolean remainsHung = hung
                     && instance.terminating
                     && now - instance.sigtermMs > instance.policy().stopWithinMs();
-            // otherwise a rejected configuration or the fault "does not end" still applies
+            // the fault stays while the declared configuration is rejected or the stop time is exceeded
             if (instance.refusalReason().isEmpty() && !remainsHung) {
                 instance.fault = instance.consecutiveReloadFailures > 0 ? ConfigurationReloads.RELOAD_FAILED : "";
             }
--- a/fleet/src/test/java/cacheproxy/supervise/SimulatedMachine.java
+++ b/fleet/src/test/java/cacheproxy/supervise/SimulatedMachine.java
@@ -391,12 +391,12 @@
         deathPoint("before note " + kind);
         if (diskFull) {
             log("disk full: " + journalRecord);
-            if (journalRecord instanceof JournalRecord.DesiredStateSet w
-                    && !w.name().equals(commandTarget)) {
-                uncertainRequests.add(w.name());
+            if (journalRecord instanceof JournalRecord.DesiredStateSet desired
+                    && !desired.name().equals(commandTarget)) {
+                uncertainRequests.add(desired.name());
             }
-            if (journalRecord instanceof JournalRecord.RollingRestartInstanceDone d) {
-                unrecordedRestarts.add(d.name());
+            if (journalRecord instanceof JournalRecord.RollingRestartInstanceDone instanceDone) {
+                unrecordedRestarts.add(instanceDone.name());
             }
             return false;
         }
