--- a/fleet/src/test/java/cacheproxy/supervise/LateAnswersTest.java
+++ b/fleet/src/test/java/cacheproxy/supervise/LateAnswersTest.java
@@ -8,61 +8,61 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** Answers that come late, twice, or not at all. */
+/** Results that arrive late, twice, or never. */
 class LateAnswersTest extends SupervisorFixture {
     @Test
-    void aSearchThatCouldNotBeMadeIsRepeatedAfterAPause() {
-        up();
-        agentDies(false, spec("a"));
-        actions.news();
-        core.notSearched(now, "a", 1);
-        core.notSearched(now, "a", 7);
-        core.tick(now);
-        assertEquals(List.of(), actions.news());
-        pass(100); // a fifth of probeMs is over, and forkMs is not
-        assertEquals(List.of("search a 1 11"), actions.news());
-        core.found(now, "a", 1, P1);
-        core.notSearched(now, "a", 1);
+    void repeatsFailedSearchAfterADelay() {
+        startReady();
+        restartAgent(false, spec("a"));
+        actions.takeActions();
+        supervisor.searchFailed(now, "a", 1);
+        supervisor.searchFailed(now, "a", 7);
+        supervisor.tick(now);
+        assertEquals(List.of(), actions.takeActions());
+        advanceTime(100); // a fifth of probeMs has passed, but not forkMs
+        assertEquals(List.of("search a 1 11"), actions.takeActions());
+        supervisor.searchCompleted(now, "a", 1, P1);
+        supervisor.searchFailed(now, "a", 1);
         assertEquals(InstanceState.ADOPTED, a().state());
     }
 
     @Test
-    void answersAboutEarlierStartsAreIgnored() {
-        up();
-        core.gone(now, "a", 1, 1);
-        core.gone(now, "a", 1, 1);
+    void ignoresResultsOfEarlierStarts() {
+        startReady();
+        supervisor.processEnded(now, "a", 1, 1);
+        supervisor.processEnded(now, "a", 1, 1);
         assertEquals(1, a().consecutiveCrashes());
-        core.spawned(now, "a", 1, P1);
-        ready("a", 1);
+        supervisor.spawned(now, "a", 1, P1);
+        reportReady("a", 1);
         assertEquals(InstanceState.BACKING_OFF, a().state());
-        pass(100);
-        core.gone(now, "a", 1, 1);
-        ready("a", 1);
-        mute("a", 1);
-        core.spawnFailed(now, "a", 1, "?");
-        core.found(now, "a", 2, null);
-        core.reloaded(now, "a", 2, true, "", "C9");
+        advanceTime(100);
+        supervisor.processEnded(now, "a", 1, 1);
+        reportReady("a", 1);
+        failHealthCheck("a", 1);
+        supervisor.spawnFailed(now, "a", 1, "?");
+        supervisor.searchCompleted(now, "a", 2, null);
+        supervisor.reloaded(now, "a", 2, true, "", "C9");
         assertEquals(InstanceState.STARTING, a().state());
         assertNull(a().identity());
-        ready("nobody", 1);
+        reportReady("nobody", 1);
     }
 
     @Test
-    void aLostProbeIsRepeated() {
-        up();
-        pass(200);
-        actions.done.clear();
-        pass(700);
-        assertFalse(actions.done.contains("probe a 1"));
-        pass(600);
-        assertTrue(actions.done.contains("probe a 1"));
-        assertEquals(InstanceState.READY, a().state()); // it is the agent that lost it
+    void repeatsLostHealthCheck() {
+        startReady();
+        advanceTime(200);
+        actions.requestedActions.clear();
+        advanceTime(700);
+        assertFalse(actions.requestedActions.contains("probe a 1"));
+        advanceTime(600);
+        assertTrue(actions.requestedActions.contains("probe a 1"));
+        assertEquals(InstanceState.READY, a().state()); // the agent lost the result; the instance is not at fault
     }
 
     @Test
-    void aProcessThatCouldNotBeMade() {
+    void countsFailedProcessCreationAsACrash() {
         declare(spec("a"));
-        core.spawnFailed(now, "a", 1, "no memory");
+        supervisor.spawnFailed(now, "a", 1, "no memory");
         assertEquals(InstanceState.BACKING_OFF, a().state());
         assertEquals(1, a().consecutiveCrashes());
         assertTrue(a().fault().contains("no memory"));
--- a/fleet/src/test/java/cacheproxy/supervise/SupervisorFixture.java
+++ b/fleet/src/test/java/cacheproxy/supervise/SupervisorFixture.java
@@ -6,33 +6,33 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** A supervisor whose actions are recorded, with shorthands for the events of an instance named a. */
+/** A supervisor with recorded actions, and shorthands for events, most of them of an instance named a. */
 abstract class SupervisorFixture {
-    /** Ready within 3000, stopped within 1000, hung after 800, back-off 100 to 500, given up after 4. */
+    /** In ms: ready within 3000, stopped within 1000, hung after 800, backoff 100 to 500; given up after 4 crashes. */
     static final SupervisionPolicy POLICY = new SupervisionPolicy(3000, 1000, 800, -1, 100, 500, 4, 2000, 200, 400);
 
     static final UniqueProcessId P1 = new UniqueProcessId(11, 100, "boot");
     static final UniqueProcessId P2 = new UniqueProcessId(12, 200, "boot");
 
-    /** Records what the supervisor asks for. */
+    /** Records the actions that the supervisor requests. */
     static final class RecordedActions implements SupervisorActions {
         final List<JournalRecord> journal = new ArrayList<>();
-        final List<String> done = new ArrayList<>();
-        final List<String> said = new ArrayList<>();
-        boolean full;
-        int secrets;
+        final List<String> requestedActions = new ArrayList<>();
+        final List<String> loggedEvents = new ArrayList<>();
+        boolean journalFails;
+        int secretCount;
 
         @Override
-        public boolean note(JournalRecord entry) {
-            if (!full) {
-                journal.add(entry);
+        public boolean appendToJournal(JournalRecord journalRecord) {
+            if (!journalFails) {
+                journal.add(journalRecord);
             }
-            return !full;
+            return !journalFails;
         }
 
         @Override
         public String secret() {
-            return "s" + ++secrets;
+            return "s" + ++secretCount;
         }
 
         @Override
@@ -43,54 +43,54 @@
                             && i.start() == start
                             && i.secret().equals(secret),
                     "" + last);
-            done.add("spawn " + name + " " + start);
+            requestedActions.add("spawn " + name + " " + start);
         }
 
         @Override
         public void search(String name, int start, UniqueProcessId identity, String secret) {
-            done.add("search " + name + " " + start + (identity == null ? "" : " " + identity.pid()));
+            requestedActions.add("search " + name + " " + start + (identity == null ? "" : " " + identity.pid()));
         }
 
         @Override
         public void terminate(String name, UniqueProcessId identity) {
-            done.add("terminate " + name + " " + identity.pid());
+            requestedActions.add("terminate " + name + " " + identity.pid());
         }
 
         @Override
         public void kill(String name, UniqueProcessId identity) {
-            done.add("kill " + name + " " + identity.pid());
+            requestedActions.add("kill " + name + " " + identity.pid());
         }
 
         @Override
         public void probe(String name, int start) {
-            done.add("probe " + name + " " + start);
+            requestedActions.add("probe " + name + " " + start);
         }
 
         @Override
         public void reload(String name, int start) {
-            done.add("reload " + name + " " + start);
+            requestedActions.add("reload " + name + " " + start);
         }
 
         @Override
-        public void say(String name, String what) {
-            said.add(name + ": " + what);
+        public void logEvent(String name, String what) {
+            loggedEvents.add(name + ": " + what);
         }
 
-        /** What was done since, probes left out. */
-        List<String> news() {
-            List<String> news = new ArrayList<>(done);
-            news.removeIf(s -> s.startsWith("probe"));
-            done.clear();
-            return news;
+        /** Returns and clears the requested actions, without health checks. */
+        List<String> takeActions() {
+            List<String> recorded = new ArrayList<>(requestedActions);
+            recorded.removeIf(s -> s.startsWith("probe"));
+            requestedActions.clear();
+            return recorded;
         }
 
-        boolean said(String part) {
-            return said.stream().anyMatch(s -> s.contains(part));
+        boolean hasLogged(String text) {
+            return loggedEvents.stream().anyMatch(s -> s.contains(text));
         }
     }
 
     RecordedActions actions = new RecordedActions();
-    Supervisor core = new Supervisor(actions);
+    Supervisor supervisor = new Supervisor(actions);
     long now;
 
     static InstanceSpec spec(String name, String launch, String configuration, SupervisionPolicy policy) {
@@ -101,41 +101,41 @@
         return spec(name, "L1", "C1", POLICY);
     }
 
-    static SupervisionPolicy killing(long after) {
-        return new SupervisionPolicy(3000, 1000, 800, after, 100, 500, 4, 2000, 200, 400);
+    static SupervisionPolicy policyWithKillAfter(long killAfterMs) {
+        return new SupervisionPolicy(3000, 1000, 800, killAfterMs, 100, 500, 4, 2000, 200, 400);
     }
 
     Instance a() {
-        return core.instance("a");
+        return supervisor.instance("a");
     }
 
     void declare(InstanceSpec... specs) {
-        core.declare(now, List.of(specs));
+        supervisor.declare(now, List.of(specs));
     }
 
-    /** Time goes on in ticks; whoever is asked answers so. */
-    void pass(long ms, Runnable answers) {
-        for (long end = now + ms; now < end; ) {
+    /** Advances time in ticks of 100 ms and runs {@code onTick} before each. */
+    void advanceTime(long durationMs, Runnable onTick) {
+        for (long endMs = now + durationMs; now < endMs; ) {
             now += 100;
-            answers.run();
-            core.tick(now);
+            onTick.run();
+            supervisor.tick(now);
         }
     }
 
-    void pass(long ms) {
-        pass(ms, () -> {});
+    void advanceTime(long durationMs) {
+        advanceTime(durationMs, () -> {});
     }
 
-    void mute(String name, int start) {
-        core.probeFailed(now, name, start, "no answer");
+    void failHealthCheck(String name, int start) {
+        supervisor.probeFailed(now, name, start, "no answer");
     }
 
-    void ready(String name, int start) {
-        core.probed(now, name, start, true, "", "C1");
+    void reportReady(String name, int start) {
+        supervisor.probed(now, name, start, true, "", "C1");
     }
 
-    /** a and perhaps others, started once and ready. */
-    void up(SupervisionPolicy policy, String... names) {
+    /** Declares these instances and makes each ready after its first start. */
+    void startReady(SupervisionPolicy policy, String... names) {
         InstanceSpec[] specs = new InstanceSpec[names.length];
         for (int i = 0; i < names.length; i++) {
             specs[i] = spec(names[i], "L1", "C1", policy);
@@ -143,32 +143,32 @@
         declare(specs);
         int pid = 11;
         for (String name : names) {
-            core.spawned(now, name, 1, new UniqueProcessId(pid, pid++ == 11 ? 100 : 200, "boot"));
-            ready(name, 1);
-            assertEquals(InstanceState.READY, core.instance(name).state());
+            supervisor.spawned(now, name, 1, new UniqueProcessId(pid, pid++ == 11 ? 100 : 200, "boot"));
+            reportReady(name, 1);
+            assertEquals(InstanceState.READY, supervisor.instance(name).state());
         }
-        actions.news();
+        actions.takeActions();
     }
 
-    void up() {
-        up(POLICY, "a");
+    void startReady() {
+        startReady(POLICY, "a");
     }
 
-    /** The agent dies; the next one's clock begins anew. */
-    void agentDies(boolean compacted, InstanceSpec... specs) {
-        List<JournalRecord> journal = compacted ? core.snapshot() : actions.journal;
+    /** Replaces the agent by one that replays the journal or a snapshot; its clock starts at 0. */
+    void restartAgent(boolean compacted, InstanceSpec... specs) {
+        List<JournalRecord> journal = compacted ? supervisor.snapshot() : actions.journal;
         actions = new RecordedActions();
         actions.journal.addAll(journal);
-        core = new Supervisor(actions);
+        supervisor = new Supervisor(actions);
         now = 0;
         journal = List.copyOf(journal);
-        journal.forEach(core::recall);
-        core.begin(now);
+        journal.forEach(supervisor::replay);
+        supervisor.searchForProcesses(now);
         declare(specs);
     }
 
     void crash(int start) {
-        core.spawned(now, "a", start, P1);
-        core.gone(now, "a", start, 1);
+        supervisor.spawned(now, "a", start, P1);
+        supervisor.processEnded(now, "a", start, 1);
     }
 }
