--- a/fleet/src/main/java/cacheproxy/replication/node/CommandLog.java
+++ b/fleet/src/main/java/cacheproxy/replication/node/CommandLog.java
@@ -18,9 +18,9 @@
 /**
  * The operator commands of one member on its disk. Each record is a magic number (2 bytes), the length of its body (4),
  * its CRC-32C (4) and the body in CBOR, and is synced before {@link #append} returns. A record is the whole state of
- * one subject and is merged with earlier ones, so that a torn or corrupt record only loses itself. After one, reading
- * resumes at the next valid record, and the skipped bytes are counted. A log that has grown to several times its
- * contents is rewritten and renamed into place.
+ * one subject and is merged with earlier ones, so that a torn or corrupt record does not affect others. After one,
+ * reading resumes at the next valid record, and the skipped bytes are counted. A log that has grown to several times
+ * its contents is rewritten and renamed into place.
  *
  * <p>Not thread-safe.
  */
@@ -55,12 +55,12 @@
         Path file = folder.resolve(FILE);
         CommandLog log = new CommandLog(file, Files.exists(file) ? Files.readAllBytes(file) : new byte[0]);
         if (log.skippedBytes > 0) {
-            log.compact(); // the next record would otherwise follow a part of one
+            log.compact(); // the next record would otherwise be appended to a partial one
         }
         return log;
     }
 
-    /** Reads all valid records; the number of bytes that belong to none. */
+    /** Reads all valid records and returns the number of bytes that belong to none. */
     private long readAll(byte[] contents) {
         long skipped = 0;
         int offset = 0;
@@ -76,7 +76,7 @@
         return skipped;
     }
 
-    /** Reads the record at this offset; the offset of the next one, or {@link #INVALID}. */
+    /** Reads the record at this offset and returns the offset of the next one, or {@link #INVALID}. */
     private int readRecord(byte[] contents, int offset) {
         if (contents.length - offset < HEADER_BYTES) {
             return INVALID;
@@ -114,7 +114,7 @@
         bySubject.put(key, before == null ? commands : (OperatorCommands) before.merge(commands));
     }
 
-    /** Its contents, by key. */
+    /** The commands in the log, by key. */
     Map<String, OperatorCommands> contents() {
         return bySubject;
     }
--- a/fleet/src/main/java/cacheproxy/replication/node/MemberControl.java
+++ b/fleet/src/main/java/cacheproxy/replication/node/MemberControl.java
@@ -93,7 +93,7 @@
         member.replica().reportMetric(kind, text(request, "about"), amount, member.nowMs());
     }
 
-    /** Answers the request that submitted this command. */
+    /** Replies to the request that submitted this command. */
     void commandAcknowledged(long sequence, boolean durable, int copies) {
         ControlServer.Reply reply = awaitingAck.remove(sequence);
         if (reply == null) {
@@ -163,13 +163,13 @@
         fields.put("contradict", commands.conflicting());
         List<Map<String, Object>> active = new ArrayList<>();
         for (OperatorCommand command : commands.active()) {
-            Map<String, Object> one = new LinkedHashMap<>();
-            one.put("verb", command.action());
-            one.put("who", command.operator());
-            one.put("why", command.reason());
-            one.put("atMs", command.timestampMs());
-            one.put("dot", command.incarnation() + ":" + command.sequence());
-            active.add(one);
+            Map<String, Object> described = new LinkedHashMap<>();
+            described.put("verb", command.action());
+            described.put("who", command.operator());
+            described.put("why", command.reason());
+            described.put("atMs", command.timestampMs());
+            described.put("dot", command.incarnation() + ":" + command.sequence());
+            active.add(described);
         }
         fields.put("standing", active);
         List<String> versions = new ArrayList<>();
--- a/fleet/src/main/java/cacheproxy/replication/node/MemberFile.java
+++ b/fleet/src/main/java/cacheproxy/replication/node/MemberFile.java
@@ -15,12 +15,13 @@
 import java.util.TreeMap;
 
 /**
- * A member's configuration, {@code member.json} in its folder. All of it is checked before anything is opened.
+ * A member's configuration, {@code member.json} in its folder. It is validated completely before any file or socket is
+ * opened.
  *
  * @param name unique among the members
  * @param listen where peers connect to, a loopback address
  * @param peers the addresses of all other members, by name
- * @param clockOffsetMs added to the wall clock, for drills with wrong clocks
+ * @param clockOffsetMs added to the wall clock, for tests with wrong clocks
  */
 record MemberFile(
         String name,
@@ -86,7 +87,7 @@
                 || s.length() > MAX_NAME_LENGTH
                 || !s.matches("[A-Za-z0-9_.-]+")) {
             throw new InvalidInputException(field + ": '" + value
-                    + "' is no name of letters, digits, '.', '_' and '-', up to " + MAX_NAME_LENGTH);
+                    + "' is not a name of letters, digits, '.', '_' and '-', length limit " + MAX_NAME_LENGTH);
         }
         return s;
     }
@@ -96,14 +97,14 @@
         InetSocketAddress address = NumericAddress.parse(field, String.valueOf(value));
         if (!address.getAddress().isLoopbackAddress()) {
             throw new InvalidInputException(
-                    field + ": " + value + " is not on this machine; members speak on loopback addresses only");
+                    field + ": " + value + " is not on this machine; members use loopback addresses only");
         }
         return address;
     }
 
     private static long parseInteger(String field, Object value) {
         if (!(value instanceof Number n) || n.doubleValue() != n.longValue()) {
-            throw new InvalidInputException(field + ": " + value + " is no whole number");
+            throw new InvalidInputException(field + ": " + value + " is not an integer");
         }
         return n.longValue();
     }
--- a/fleet/src/main/java/cacheproxy/replication/node/MemberService.java
+++ b/fleet/src/main/java/cacheproxy/replication/node/MemberService.java
@@ -29,7 +29,7 @@
     static final String SOCKET = "member.sock";
 
     private static final int MAX_QUEUED_WRITES = 1_024;
-    /** Random bits of an incarnation, below its start time: a member on an old disk must not reuse one. */
+    /** Random bits of an incarnation, below its start time: a member restored from an old disk must not reuse one. */
     private static final int INCARNATION_RANDOM_BITS = 12;
 
     private final MemberFile file;
@@ -40,7 +40,7 @@
     private final PeerConnections peers;
     private final Replica replica;
     private final MemberControl control;
-    /** The last fault of the disk, empty if the last write was durable; written by the disk's thread and the loop. */
+    /** The last disk fault, empty if the last write was durable; written by the disk thread and the event loop. */
     private volatile String diskFault = "";
 
     private MemberService(Path folder) throws IOException {
@@ -89,7 +89,7 @@
         try {
             replica.tick(nowMs());
         } catch (RuntimeException e) {
-            // a periodic task that throws is not run again
+            // the executor cancels a periodic task that throws
             System.err.println("member " + file.name() + ": gossip round failed: " + e);
         }
     }
@@ -144,7 +144,7 @@
         }
     }
 
-    /** On the disk's thread. A failed write is never reported as stored, so nothing is acknowledged. */
+    /** Called on the disk thread. A failed write is never reported as stored, so nothing is acknowledged. */
     private void write(String key, OperatorCommands commands, long token) {
         try {
             log.append(key, commands);
--- a/fleet/src/main/java/cacheproxy/replication/node/PeerCodec.java
+++ b/fleet/src/main/java/cacheproxy/replication/node/PeerCodec.java
@@ -32,7 +32,7 @@
  *
  * <p>Newer versions may append fields to a status, a metric or a command; these are kept with it and encoded again in
  * their place. Entries of kinds, and values of types, that this version doesn't know are left out, since it can't merge
- * them. Other members send them again once it does.
+ * them. Other members send them again after an update of this one.
  */
 final class PeerCodec {
     private static final JSON CBOR = JSON.builder(new CBORFactory()).build();
@@ -155,7 +155,7 @@
             try {
                 all.addAll((List<?>) CBOR.anyFrom(unknownFields.getBytes(StandardCharsets.ISO_8859_1)));
             } catch (IOException e) {
-                throw new IllegalArgumentException("unknown fields that are no CBOR: " + e.getMessage(), e);
+                throw new IllegalArgumentException("unknown fields are not CBOR: " + e.getMessage(), e);
             }
         }
         return all;
@@ -224,7 +224,7 @@
             case "page" ->
                 new Message.TransferPage(
                         decodeEntries(map.get("i")), integer(map, "d"), bool(map, "c"), bool(map, "y"));
-            default -> throw new InvalidFieldException("k", type + " is no known type of message");
+            default -> throw new InvalidFieldException("k", type + " is not a known message type");
         };
     }
 
@@ -329,7 +329,7 @@
                 unknownFields(fields, COMMAND_FIELDS));
     }
 
-    /** The fields behind so many known ones, as this codec encodes them: the same on every machine. */
+    /** The fields after the known ones, as encoded by this codec: the same bytes on every machine. */
     private static String unknownFields(List<?> fields, int known) {
         return fields.size() == known
                 ? ""
@@ -351,7 +351,7 @@
         }
         List<?> parts = list("record", decoded, 2, 2);
         if (!(decodeValue(parts.get(1)) instanceof OperatorCommands commands)) {
-            throw new InvalidFieldException("record", "its value is no operator commands");
+            throw new InvalidFieldException("record", "its value is not of type operator commands");
         }
         return Map.entry(text("record", parts.get(0)), commands);
     }
@@ -373,14 +373,14 @@
 
     private static long integer(String field, Object value) {
         if (!(value instanceof Number n) || n instanceof Double || n instanceof Float) {
-            throw new InvalidFieldException(field, value + " is no whole number");
+            throw new InvalidFieldException(field, value + " is not an integer");
         }
         return n.longValue();
     }
 
     private static String text(String field, Object value) {
         if (!(value instanceof String s)) {
-            throw new InvalidFieldException(field, value + " is no text");
+            throw new InvalidFieldException(field, value + " is not a string");
         }
         return s;
     }
--- a/fleet/src/main/java/cacheproxy/replication/node/PeerConnections.java
+++ b/fleet/src/main/java/cacheproxy/replication/node/PeerConnections.java
@@ -27,8 +27,8 @@
 
 /**
  * Connections between members. A member opens one to each peer that it sends to; peers send on connections that they
- * open. A frame is its length (4 bytes) and a message. Nothing is queued for a peer that is unreachable or doesn't
- * read: what is lost is found by anti-entropy. All methods but {@link #listen} are called on the event loop.
+ * open. A frame is its length (4 bytes) and a message. Messages for a peer that is unreachable or doesn't read are
+ * dropped: anti-entropy makes up for them. All methods but {@link #listen} are called on the event loop.
  */
 final class PeerConnections {
     private static final int LENGTH_FIELD_BYTES = 4;
@@ -119,7 +119,7 @@
     private long droppedMessages;
     private long malformedFrames;
 
-    /** {@code receiver}: takes each message on the event loop. */
+    /** {@code receiver}: called with each message, on the event loop. */
     PeerConnections(EventLoop loop, Map<String, InetSocketAddress> peers, Consumer<Message> receiver) {
         this.loop = loop;
         this.receiver = receiver;
@@ -181,7 +181,7 @@
         }
     }
 
-    /** Messages that were dropped since they could not be sent at once. */
+    /** Messages that were dropped because they could not be sent at once. */
     long droppedMessages() {
         return droppedMessages;
     }
--- a/fleet/src/test/java/cacheproxy/replication/node/EarlierVersionTest.java
+++ b/fleet/src/test/java/cacheproxy/replication/node/EarlierVersionTest.java
@@ -24,13 +24,13 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /**
- * Files and messages that commit 36a759b wrote, in {@code earlier/replication}: a member must read its own after an
- * update, and members of both versions must understand one another, with equal digests.
+ * Files and messages that commit 36a759b wrote, in {@code earlier/replication}: a member must be able to read its own
+ * files after an update, and members of both versions must exchange messages and compute equal digests.
  */
 class EarlierVersionTest {
     private static final Path EARLIER = Path.of("src", "test", "resources", "earlier", "replication");
 
-    /** What a still later version might append to a value: {@code ["until", 1800000000000]} in CBOR. */
+    /** Fields that a later version might append to a value: {@code ["until", 1800000000000]} in CBOR. */
     private static final String UNKNOWN_FIELDS =
             new String(PeerCodec.encode(List.of("until", 1_800_000_000_000L)), StandardCharsets.ISO_8859_1);
 
@@ -56,7 +56,7 @@
     Path folder;
 
     @Test
-    void theCommandLogIsReadWithAllItsSubjects() throws Exception {
+    void readsCommandLogOfEarlierVersion() throws Exception {
         Files.copy(EARLIER.resolve("orders.log"), folder.resolve(CommandLog.FILE));
         try (CommandLog log = CommandLog.open(folder)) {
             assertEquals(0, log.skippedBytes());
@@ -82,7 +82,7 @@
                             "order/s-4",
                             WITH_UNKNOWN_FIELDS),
                     log.contents());
-            // as the earlier version computed them: members of both compare digests
+            // the digests that the earlier version computed: members of both versions compare them
             assertEquals(
                     Map.of(
                             "order/s-1", "16d07bf0ee446178",
@@ -98,7 +98,7 @@
 
     /** A log that is written again must be readable by the earlier version if the update is rolled back. */
     @Test
-    void theCommandLogIsWrittenByteForByteAsBefore() throws Exception {
+    void writesCommandLogByteForByteAsEarlierVersion() throws Exception {
         try (CommandLog log = CommandLog.open(folder)) {
             log.append(
                     "order/s-1",
@@ -123,7 +123,7 @@
     }
 
     @Test
-    void theMemberFileIsReadWithAllItsSettings() {
+    void readsMemberFileOfEarlierVersion() {
         assertEquals(
                 new MemberFile(
                         "m1",
@@ -139,7 +139,7 @@
     }
 
     @Test
-    void eachMessageIsReadAndWrittenByteForByteAsBefore() throws Exception {
+    void readsAndWritesMessagesByteForByteAsEarlierVersion() throws Exception {
         Map<String, Message.Body> bodies = new LinkedHashMap<>();
         bodies.put("news", new Message.Update(ENTRIES, true));
         bodies.put("sum", new Message.DigestSummary(-5));
@@ -179,7 +179,7 @@
     }
 
     @Test
-    void digestsOfValuesAreAsBefore() {
+    void computesDigestsAsEarlierVersion() {
         assertEquals(
                 List.of(
                         "16d07bf0ee446178",
--- a/fleet/src/test/java/cacheproxy/replication/node/NewerMemberTest.java
+++ b/fleet/src/test/java/cacheproxy/replication/node/NewerMemberTest.java
@@ -27,7 +27,7 @@
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
 
-/** A member of this version between newer ones: what those have appended must pass through it unchanged. */
+/** Tests a member of this version between newer ones: it must forward fields that those have appended unchanged. */
 @Timeout(90)
 class NewerMemberTest {
     private static final List<Object> ADDED =
@@ -39,7 +39,7 @@
     private final List<Process> members = new ArrayList<>();
 
     @AfterEach
-    void end() throws InterruptedException {
+    void killMembers() throws InterruptedException {
         for (Process p : members) {
             p.destroyForcibly().waitFor(10, TimeUnit.SECONDS);
         }
@@ -52,7 +52,7 @@
     }
 
     /** A message of a newer version, with a field that this version doesn't know. */
-    private static Map<String, Object> news(List<Object> items) {
+    private static Map<String, Object> updateMessage(List<Object> entries) {
         Map<String, Object> m = new LinkedHashMap<>();
         m.put("v", 1);
         m.put("f", "m9");
@@ -62,31 +62,31 @@
         m.put("r", Map.of());
         m.put("zone", "a part of the message itself, for its receiver alone");
         m.put("k", "news");
-        m.put("i", items);
+        m.put("i", entries);
         m.put("c", false);
         return m;
     }
 
-    private static List<ReplicatedEntry> items(byte[] message) {
+    private static List<ReplicatedEntry> decodeEntries(byte[] message) {
         return ((Message.Update) PeerCodec.decodeMessage(message).body()).entries();
     }
 
     @Test
-    void unknownFieldsAreEncodedAgain() {
+    void reencodesUnknownFields() {
         List<Object> order = withAddedFields(List.of(5, 1, 7, "drain", "who", "why"));
-        List<ReplicatedEntry> heard = items(PeerCodec.encode(news(List.of(
+        List<ReplicatedEntry> received = decodeEntries(PeerCodec.encode(updateMessage(List.of(
                 List.of("order/n1", 3, List.of("o", List.of(List.of(5, 1)), List.of(order))),
                 List.of("node/s-1", 3, withAddedFields(List.of("t", 5, "DRAINING"))),
                 List.of("level/acme/m9", 3, withAddedFields(List.of("c", 9, 1, 0.5)))))));
-        assertEquals(3, heard.size());
+        assertEquals(3, received.size());
         assertEquals(
-                EndpointStatus.State.DRAINING, ((EndpointStatus) heard.get(1).value()).state());
-        assertEquals(0.5, ((MemberMetric) heard.get(2).value()).amount());
-        List<ReplicatedEntry> again = items(
-                PeerCodec.encodeMessage(new Message("m1", 7, false, 1, Map.of(), new Message.Update(heard, false))));
-        assertEquals(heard, again);
+                EndpointStatus.State.DRAINING, ((EndpointStatus) received.get(1).value()).state());
+        assertEquals(0.5, ((MemberMetric) received.get(2).value()).amount());
+        List<ReplicatedEntry> again = decodeEntries(
+                PeerCodec.encodeMessage(new Message("m1", 7, false, 1, Map.of(), new Message.Update(received, false))));
+        assertEquals(received, again);
         for (int i = 0; i < 3; i++) {
-            assertEquals(heard.get(i).value().digest(), again.get(i).value().digest());
+            assertEquals(received.get(i).value().digest(), again.get(i).value().digest());
         }
         assertEquals(
                 withAddedFields(List.of("t", 5L, "DRAINING")),
@@ -102,31 +102,33 @@
                 PeerCodec.encodeValue(again.get(0).value()));
     }
 
-    /** One entry of an unknown kind must not make the whole message malformed, with the commands in it. */
+    /** An entry of an unknown kind must not make the whole message malformed: the commands in it would be lost. */
     @Test
-    void unknownEntriesAreLeftOutAndTheRestIsDecoded() {
-        List<ReplicatedEntry> heard = items(PeerCodec.encode(news(List.of(
+    void skipsUnknownEntriesAndDecodesTheRest() {
+        List<ReplicatedEntry> received = decodeEntries(PeerCodec.encode(updateMessage(List.of(
                 List.of("quota/acme", 3, List.of("q", 1, 2)),
                 List.of("node/s-1", 3, List.of("t", 5, "RESTING")),
                 List.of("node/s-2", 3, List.of("interval", 5, 6)),
                 List.of("node/s-3", 3, List.of("t", 5, "GONE"))))));
         assertEquals(
-                List.of(new ReplicatedEntry("node/s-3", new EndpointStatus(5, EndpointStatus.State.GONE), 3)), heard);
+                List.of(new ReplicatedEntry("node/s-3", new EndpointStatus(5, EndpointStatus.State.GONE), 3)),
+                received);
         assertThrows(
                 InvalidFieldException.class,
-                () -> items(PeerCodec.encode(news(List.of(List.of("node/s-1", 3, List.of("t", "soon", "GONE")))))));
+                () -> decodeEntries(PeerCodec.encode(
+                        updateMessage(List.of(List.of("node/s-1", 3, List.of("t", "soon", "GONE")))))));
         List<Object> many = new ArrayList<>(List.of("t", 5, "GONE"));
         many.addAll(java.util.Collections.nCopies(18, 1));
         assertThrows(
                 InvalidFieldException.class,
-                () -> items(PeerCodec.encode(news(List.of(List.of("node/s-1", 3, many))))));
+                () -> decodeEntries(PeerCodec.encode(updateMessage(List.of(List.of("node/s-1", 3, many))))));
         assertThrows(
                 InvalidFieldException.class,
-                () -> items(PeerCodec.encode(news(
+                () -> decodeEntries(PeerCodec.encode(updateMessage(
                         List.of(List.of("node/s-1", 3, List.of("t", 5, "GONE", "x".repeat(2_000))))))));
     }
 
-    private static String free() throws IOException {
+    private static String freeAddress() throws IOException {
         try (ServerSocket s = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
             return "127.0.0.1:" + s.getLocalPort();
         }
@@ -179,14 +181,17 @@
 
     private void await(String name, String key, OperatorCommands orders) throws IOException {
         while (!orders.equals(onDisk(name, key))) {
-            assertTrue(members.stream().allMatch(Process::isAlive) || members.size() > 2, "a member has ended");
+            assertTrue(members.stream().allMatch(Process::isAlive) || members.size() > 2, "a member process has ended");
             Thread.onSpinWait();
         }
     }
 
-    /** Three processes in a row; the one in the middle is killed and restarted, with its disk as only source. */
+    /**
+     * Connects three member processes in a line. The middle one is killed and restarted with its disk as the only
+     * source.
+     */
     @Test
-    void unknownFieldsPassThroughDiskAndWire() throws Exception {
+    void preservesUnknownFieldsOnDiskAndWire() throws Exception {
         OperatorCommands newer = (OperatorCommands) PeerCodec.decodeValue(List.of(
                 "o", List.of(List.of(5, 1)), List.of(withAddedFields(List.of(5, 1, 7, "drain", "who", "why")))));
         assertTrue(!newer.active().get(0).unknownFields().isEmpty());
@@ -194,9 +199,9 @@
         try (CommandLog log = CommandLog.open(root.resolve("m0"))) {
             log.append("order/s-1", newer);
         }
-        String m0 = free();
-        String m1 = free();
-        String m2 = free();
+        String m0 = freeAddress();
+        String m1 = freeAddress();
+        String m2 = freeAddress();
         Process first = start("m0", m0, Map.of("m1", m1));
         Process middle = start("m1", m1, Map.of("m0", m0, "m2", m2));
         await("m1", "order/s-1", newer);
--- a/proxy/src/main/java/cacheproxy/control/CertificateExpiryCheck.java
+++ b/proxy/src/main/java/cacheproxy/control/CertificateExpiryCheck.java
@@ -7,8 +7,8 @@
 import javax.net.ssl.X509ExtendedTrustManager;
 
 /**
- * Adds a check of validity checkDates, for the whole chain, to the JDK's trust manager. The JDK accepts a certificate
- * that is itself a trust anchor regardless of its checkDates.
+ * Adds a check of the validity dates of the whole chain to the JDK's trust manager. The JDK accepts a certificate that
+ * is itself a trust anchor regardless of its dates.
  */
 final class CertificateExpiryCheck extends X509ExtendedTrustManager {
     private final X509ExtendedTrustManager delegate;
@@ -60,8 +60,8 @@
     }
 
     /**
-     * None: this keeps the list of trusted certificates from unauthenticated clients, and a client from withholding a
-     * certificate that is itself a trust anchor.
+     * Returns none. A list would show the trusted certificates to unauthenticated clients, and could make a client
+     * withhold a certificate that is itself a trust anchor.
      */
     @Override
     public X509Certificate[] getAcceptedIssuers() {
--- a/proxy/src/main/java/cacheproxy/control/ControlClient.java
+++ b/proxy/src/main/java/cacheproxy/control/ControlClient.java
@@ -17,7 +17,7 @@
 
 /**
  * A client of the control protocol. Calls block the calling thread, each for a stated time at most, since a stopped
- * process accepts connections and never answers. Not thread-safe.
+ * process accepts connections but never answers. Not thread-safe.
  */
 public final class ControlClient implements Closeable {
     private static final int READ_BUFFER_BYTES = 1 << 13;
@@ -63,7 +63,7 @@
         return next(Math.max(1, TimeUnit.NANOSECONDS.toMillis(deadlineNs - System.nanoTime())));
     }
 
-    /** Sends a request; throws IOException if the other side doesn't accept it in time. */
+    /** Sends a request; throws IOException if the other side doesn't read it in time. */
     public void send(Map<String, Object> request, long timeoutMs) throws IOException {
         long deadlineNs = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(timeoutMs);
         Map<String, Object> sent = request;
@@ -73,7 +73,7 @@
             token = null;
         }
         ByteBuffer out = ByteBuffer.wrap((ControlCodec.encode(sent) + "\n").getBytes(StandardCharsets.UTF_8));
-        connection.write(out, deadlineNs, "it takes no request");
+        connection.write(out, deadlineNs, "request not sent in time");
     }
 
     /** The next reply; throws IOException if there is none in time, it is malformed, or the other side has closed. */
@@ -157,8 +157,8 @@
         }
 
         private void await(long deadlineNs, String timeoutMessage) throws IOException {
-            long leftMs = TimeUnit.NANOSECONDS.toMillis(deadlineNs - System.nanoTime());
-            if (leftMs <= 0 || selector.select(leftMs) == 0 && System.nanoTime() >= deadlineNs) {
+            long remainingMs = TimeUnit.NANOSECONDS.toMillis(deadlineNs - System.nanoTime());
+            if (remainingMs <= 0 || selector.select(remainingMs) == 0 && System.nanoTime() >= deadlineNs) {
                 throw new IOException(timeoutMessage);
             }
             selector.selectedKeys().clear();
--- a/proxy/src/main/java/cacheproxy/control/ControlCodec.java
+++ b/proxy/src/main/java/cacheproxy/control/ControlCodec.java
@@ -33,15 +33,15 @@
     }
 
     /** The object as JSON on one line, without the line feed. */
-    public static String encode(Map<String, Object> decode) {
+    public static String encode(Map<String, Object> object) {
         try {
-            return JSON.std.asString(decode);
+            return JSON.std.asString(object);
         } catch (IOException e) {
             throw new IllegalArgumentException("not encodable as JSON: " + e.getMessage(), e);
         }
     }
 
-    /** The object on a line; null if it is no JSON object. */
+    /** The object on a line; null if it is not a JSON object. */
     public static Map<String, Object> decode(String line) {
         try {
             return JSON.std.mapFrom(line);
--- a/proxy/src/main/java/cacheproxy/control/ControlServer.java
+++ b/proxy/src/main/java/cacheproxy/control/ControlServer.java
@@ -74,11 +74,14 @@
 
     /** Authenticates connections from other machines. */
     public interface ConnectionGuard {
-        /** Adds its handlers in front of the session's; on the event loop, unless the connection limit is reached. */
+        /**
+         * Adds its handlers before those of the session. Called on the event loop, unless the connection limit is
+         * reached.
+         */
         void install(Channel connection);
 
-        /** Whether a connection with this first request is accepted; on the event loop. */
-        boolean admits(Map<String, Object> first);
+        /** Whether a connection with this first request is accepted. Called on the event loop. */
+        boolean admits(Map<String, Object> firstRequest);
     }
 
     private final SocketAddress address;
@@ -124,7 +127,7 @@
                 .awaitUninterruptibly();
         if (!bound.isSuccess()) {
             String cause = bound.cause().getMessage();
-            throw new InvalidInputException("the control socket " + address + " cannot be had: " + cause);
+            throw new InvalidInputException("cannot listen on the control socket " + address + ": " + cause);
         }
         channel = bound.channel();
     }
@@ -162,7 +165,7 @@
         try {
             removeStale(path);
         } catch (IOException e) {
-            throw new InvalidInputException("the control socket " + path + " cannot be had: " + e);
+            throw new InvalidInputException("cannot create the control socket " + path + ": " + e);
         }
         return new ControlServer(loop, UnixDomainSocketAddress.of(path), handler, null, idleTimeoutMs);
     }
@@ -175,13 +178,13 @@
     public static void checkSocketPath(Path path) {
         int length = path.toString().getBytes(StandardCharsets.UTF_8).length;
         if (length > ControlCodec.MAX_SOCKET_PATH_BYTES) {
-            throw new InvalidInputException("the path of the control socket is too long, " + length + " bytes where "
-                    + ControlCodec.MAX_SOCKET_PATH_BYTES + " are the most: " + path);
+            throw new InvalidInputException("the path of the control socket is too long, " + length + " bytes, limit "
+                    + ControlCodec.MAX_SOCKET_PATH_BYTES + ": " + path);
         }
         try {
             checkFolder(path.toAbsolutePath().getParent());
         } catch (IOException e) {
-            throw new InvalidInputException("the control socket " + path + " cannot be had: " + e);
+            throw new InvalidInputException("cannot create the control socket " + path + ": " + e);
         }
     }
 
@@ -192,13 +195,14 @@
         }
         Set<PosixFilePermission> mode = Files.getPosixFilePermissions(folder);
         if (mode.stream().anyMatch(GROUP_AND_OTHERS::contains)) {
-            throw new InvalidInputException("the folder of the control socket lets others in ("
+            throw new InvalidInputException("the folder of the control socket is accessible to other users ("
                     + PosixFilePermissions.toString(mode) + "): " + folder + " must have mode 700");
         }
     }
 
     /**
-     * Removes the socket of a process that has died. Connections to it are refused; those of a live one may time out.
+     * Removes the socket of a process that has ended: connections to it are refused. A live process may let them time
+     * out.
      */
     private static void removeStale(Path path) throws IOException {
         if (Files.notExists(path)) {
@@ -206,7 +210,7 @@
         }
         if (!Files.readAttributes(path, BasicFileAttributes.class).isOther()) {
             throw new InvalidInputException(
-                    "the control socket " + path + " cannot be had: what is there is no socket");
+                    "cannot create the control socket " + path + ": the existing file is no socket");
         }
         try (SocketChannel probe = SocketChannel.open(StandardProtocolFamily.UNIX)) {
             probe.configureBlocking(false); // the backlog of a stopped process may be full
@@ -215,12 +219,12 @@
             Files.deleteIfExists(path);
             return;
         } catch (IOException e) {
-            throw new InvalidInputException("the control socket " + path + " cannot be had: " + e.getMessage());
+            throw new InvalidInputException("cannot check the existing control socket " + path + ": " + e.getMessage());
         }
         throw new InvalidInputException("the control socket " + path + " is in use by another process");
     }
 
-    /** The address it listens on. */
+    /** The address that the server listens on. */
     public SocketAddress address() {
         return channel.localAddress();
     }
@@ -233,7 +237,7 @@
                 Files.deleteIfExists(unix.getPath());
             }
         } catch (IOException e) {
-            // it is stale, as after a crash; the next start removes it
+            // the socket stays behind, as after a crash; the next start removes it
         }
     }
 
@@ -285,7 +289,7 @@
         }
     }
 
-    /** A connection. The next request is read once the client has taken the last reply to the previous one. */
+    /** A connection. The next request is read once the last reply to the previous one has been sent. */
     private final class Session extends SimpleChannelInboundHandler<ByteBuf> {
         private ChannelHandlerContext ctx;
         private boolean replying;
@@ -333,7 +337,7 @@
                         }
                     });
             if (!ctx.channel().isWritable()) {
-                ctx.close(); // the client reads too slowly: its replies must not fill the memory
+                ctx.close(); // the client reads too slowly: unsent replies must not use up the memory
             }
         }
 
--- a/proxy/src/main/java/cacheproxy/control/InstanceLock.java
+++ b/proxy/src/main/java/cacheproxy/control/InstanceLock.java
@@ -58,7 +58,7 @@
             channel.write(ByteBuffer.wrap(pid.getBytes(StandardCharsets.UTF_8)), 0);
             return new InstanceLock(channel, lock);
         } catch (IOException e) {
-            throw new InvalidInputException("the lock on the name " + name + " cannot be had: " + e);
+            throw new InvalidInputException("cannot open the lock file of the name " + name + ": " + e);
         }
     }
 
--- a/proxy/src/main/java/cacheproxy/control/LingeringClose.java
+++ b/proxy/src/main/java/cacheproxy/control/LingeringClose.java
@@ -9,9 +9,9 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Closes a connection in three steps: shuts down the output, discards input for a moment, closes. A client whose
- * certificate is rejected still writes the rest of its handshake; if the connection were closed at once, that would
- * fail with a broken pipe and the client would never see the alert with the reason.
+ * Closes a connection in three steps: shuts down the output, discards input for {@link #LINGER_MS}, closes. A client
+ * whose certificate is rejected still writes the rest of its handshake; if the connection were closed at once, that
+ * would fail with a broken pipe and the client would never see the alert with the reason.
  */
 final class LingeringClose extends ChannelDuplexHandler {
     private static final int LINGER_MS = 500;
--- a/proxy/src/main/java/cacheproxy/control/ProcessIdentity.java
+++ b/proxy/src/main/java/cacheproxy/control/ProcessIdentity.java
@@ -45,10 +45,10 @@
             reply.fail("nonce: a text of 1 to " + MAX_NONCE_LENGTH + " characters is needed");
             return;
         }
-        Map<String, Object> answerHello = new LinkedHashMap<>(identity);
+        Map<String, Object> answer = new LinkedHashMap<>(identity);
         if (!secret.isEmpty()) {
-            answerHello.put("proof", Fingerprint.hmac(secret, String.valueOf(identity.get("name")), nonce));
+            answer.put("proof", Fingerprint.hmac(secret, String.valueOf(identity.get("name")), nonce));
         }
-        reply.end(answerHello);
+        reply.end(answer);
     }
 }
--- a/proxy/src/main/java/cacheproxy/control/Tls.java
+++ b/proxy/src/main/java/cacheproxy/control/Tls.java
@@ -36,7 +36,7 @@
  * classes that it loads would slow down every start of an instance or agent.
  */
 public final class Tls {
-    /** The field of the first request that has the token. */
+    /** The field of the first request that carries the token. */
     static final String TOKEN = "token";
 
     private static final String VERSION = "TLSv1.3";
@@ -54,7 +54,7 @@
     /**
      * The files of one side.
      *
-     * @param trusted the certificates that the other side must have, or be signed by
+     * @param trusted the certificates that the certificate of the other side must be among, or be signed by
      * @param token null if there is none
      */
     public record Credentials(NamedFile certificate, NamedFile key, NamedFile trusted, NamedFile token) {}
@@ -69,7 +69,7 @@
     /**
      * The guard of a server's connections: TLS with client authentication, and the token if there is one.
      *
-     * @throws InvalidInputException that names the field with an invalid file
+     * @throws InvalidInputException that names the field whose file is invalid
      */
     public static ControlServer.ConnectionGuard serverGuard(Credentials credentials, int handshakeMs) {
         X509Certificate[] chain = readCertificates(credentials.certificate());
@@ -87,10 +87,10 @@
             }
 
             @Override
-            public boolean admits(Map<String, Object> first) {
+            public boolean admits(Map<String, Object> firstRequest) {
                 // in constant time, so that the response time reveals nothing about the token
                 return token == null
-                        || first.get(TOKEN) instanceof String s
+                        || firstRequest.get(TOKEN) instanceof String s
                                 && MessageDigest.isEqual(token, s.getBytes(StandardCharsets.UTF_8));
             }
         };
@@ -119,9 +119,9 @@
     private static CertificateExpiryCheck trustManager(NamedFile trusted) throws GeneralSecurityException, IOException {
         KeyStore store = KeyStore.getInstance("PKCS12");
         store.load(null, null);
-        X509Certificate[] all = readCertificates(trusted);
-        for (int i = 0; i < all.length; i++) {
-            store.setCertificateEntry("c" + i, all[i]);
+        X509Certificate[] certificates = readCertificates(trusted);
+        for (int i = 0; i < certificates.length; i++) {
+            store.setCertificateEntry("c" + i, certificates[i]);
         }
         TrustManagerFactory factory = TrustManagerFactory.getInstance("PKIX");
         factory.init(store);
@@ -131,7 +131,7 @@
     private static byte[] read(NamedFile named) {
         try {
             if (!Files.isRegularFile(named.file())) {
-                throw named.invalid(Files.exists(named.file()) ? "is no file" : "is not there");
+                throw named.invalid(Files.exists(named.file()) ? "is not a regular file" : "does not exist");
             }
             if (Files.size(named.file()) > MAX_FILE_BYTES) {
                 throw named.invalid("has more than " + MAX_FILE_BYTES + " bytes");
@@ -159,15 +159,15 @@
     private static X509Certificate[] readCertificates(NamedFile named) {
         try {
             var in = new ByteArrayInputStream(read(named));
-            X509Certificate[] all = CertificateFactory.getInstance("X.509").generateCertificates(in).stream()
+            X509Certificate[] certificates = CertificateFactory.getInstance("X.509").generateCertificates(in).stream()
                     .map(c -> (X509Certificate) c)
                     .toArray(X509Certificate[]::new);
-            if (all.length == 0) {
-                throw named.invalid("holds no certificate");
+            if (certificates.length == 0) {
+                throw named.invalid("contains no certificate");
             }
-            return all;
+            return certificates;
         } catch (GeneralSecurityException e) {
-            throw named.invalid("holds no certificates in PEM: " + e.getMessage());
+            throw named.invalid("contains no PEM certificates: " + e.getMessage());
         }
     }
 
@@ -175,7 +175,7 @@
     private static PrivateKey readKey(NamedFile named, X509Certificate certificate) {
         Matcher m = PKCS8_PEM.matcher(new String(readSecret(named), StandardCharsets.ISO_8859_1));
         if (!m.find()) {
-            throw named.invalid("holds no PKCS#8 key in PEM (BEGIN PRIVATE KEY)");
+            throw named.invalid("contains no PKCS#8 key in PEM (BEGIN PRIVATE KEY)");
         }
         String algorithm = certificate.getPublicKey().getAlgorithm();
         try {
@@ -193,7 +193,8 @@
                 return key;
             }
         } catch (GeneralSecurityException | IllegalArgumentException e) {
-            throw named.invalid("holds no " + algorithm + " key, as the certificate has: " + e.getMessage());
+            throw named.invalid(
+                    "contains no valid " + algorithm + " key, the algorithm of the certificate: " + e.getMessage());
         }
         throw named.invalid("does not belong to the certificate");
     }
@@ -203,7 +204,7 @@
         byte[] token =
                 new String(readSecret(named), StandardCharsets.UTF_8).strip().getBytes(StandardCharsets.UTF_8);
         if (token.length < MIN_TOKEN_BYTES) {
-            throw named.invalid("holds a token of less than " + MIN_TOKEN_BYTES + " bytes");
+            throw named.invalid("contains a token of less than " + MIN_TOKEN_BYTES + " bytes");
         }
         return token;
     }
--- a/proxy/src/main/java/cacheproxy/control/TlsEndpoint.java
+++ b/proxy/src/main/java/cacheproxy/control/TlsEndpoint.java
@@ -67,7 +67,7 @@
         return new Tls.NamedFile(name, folder.resolve(name));
     }
 
-    /** A blocking TLS connection; at a deadline another thread closes its socket, whatever call it is in. */
+    /** A blocking TLS connection; at a deadline another thread closes its socket, whichever call blocks on it. */
     private static final class TlsConnection implements ControlClient.Connection {
         private interface BlockingCall {
             int run() throws IOException;
@@ -87,16 +87,17 @@
             SSLSocket created = null;
             try {
                 var factory = Tls.clientContext(credentials).getSocketFactory();
-                int leftMs = (int) Math.min(
+                int remainingMs = (int) Math.min(
                         Integer.MAX_VALUE, Math.max(1, TimeUnit.NANOSECONDS.toMillis(deadlineNs - System.nanoTime())));
-                tcp.connect(address, leftMs);
+                tcp.connect(address, remainingMs);
                 tcp.setTcpNoDelay(true);
                 tcp.setKeepAlive(true); // a machine that has crashed never closes its side
                 String host = address.getAddress().getHostAddress();
                 created = (SSLSocket) factory.createSocket(tcp, host, address.getPort(), true);
                 SSLParameters parameters = created.getSSLParameters();
                 parameters.setProtocols(new String[] {"TLSv1.3"});
-                // the certificate must be for this address; otherwise any agent's of the same CA would be accepted
+                // the certificate must name this address; otherwise that of any agent with the same CA would be
+                // accepted
                 parameters.setEndpointIdentificationAlgorithm("HTTPS");
                 created.setSSLParameters(parameters);
                 SSLSocket handshaking = created;
@@ -151,7 +152,7 @@
                     read(
                             ByteBuffer.allocate(1),
                             deadlineNs,
-                            timeoutMessage); // throws the server's alert if there is one
+                            timeoutMessage); // throws an exception with the server's TLS alert if it sent one
                 }
                 throw e;
             }
--- a/proxy/src/main/java/cacheproxy/replication/AntiEntropy.java
+++ b/proxy/src/main/java/cacheproxy/replication/AntiEntropy.java
@@ -33,7 +33,7 @@
         maxKeyDigestBytes = settings.gossipBytesPerS() / 4;
     }
 
-    /** {@code catchingUp}: the sender is, so that its digest is no digest of the fleet's state. */
+    /** {@code catchingUp}: whether the sender is catching up, so that its digest does not cover the whole state. */
     void onSummary(String from, DigestSummary summary, boolean catchingUp, long nowMs) {
         if (summary.digest() != store.digest() && !catchingUp) {
             sender.send(from, new BucketDigests(store.bucketDigests()), nowMs);
@@ -44,7 +44,7 @@
         Map<Long, Long> keyDigests = new LinkedHashMap<>();
         List<Integer> differing = new ArrayList<>();
         long[] mine = store.bucketDigests();
-        // begins anywhere, so that no bucket is always left out
+        // starts at a random bucket, so that none is always left out
         int start = random.nextInt(mine.length);
         for (int i = 0; i < mine.length && differing.size() < MAX_BUCKETS_PER_MESSAGE; i++) {
             int bucket = (start + i) % mine.length;
--- a/proxy/src/main/java/cacheproxy/replication/ClockReadings.java
+++ b/proxy/src/main/java/cacheproxy/replication/ClockReadings.java
@@ -12,8 +12,8 @@
  * Bounds the age of messages without comparing two clocks. Every member forwards the readings of others' clocks that it
  * has received, with the time it has held them, so that each message returns a reading of the receiver's own clock. The
  * time since that reading is the longest that the message can have been in transit. Relayed readings make this work
- * where the sender can be heard and not answered. A message that a faulty link held back for longer than removals are
- * remembered would otherwise bring removed entries back.
+ * where messages from the sender arrive but those to it do not. Without the bound, a message that a faulty link delayed
+ * for longer than removals are remembered would bring removed entries back.
  */
 final class ClockReadings {
     /** Readings in a message: the receiver's and some others. */
--- a/proxy/src/main/java/cacheproxy/replication/CommandReplication.java
+++ b/proxy/src/main/java/cacheproxy/replication/CommandReplication.java
@@ -9,12 +9,12 @@
 
 /**
  * Operator commands from submission to acknowledgement: their identity and timestamp, their writes to this member's
- * disk, and the confirmations of other members that they are on theirs.
+ * disk, and the confirmations of other members that have them on disk.
  */
 final class CommandReplication {
     /** Peers that are asked to confirm a command at a time. */
     private static final int CONFIRMING_PEERS = 3;
-    /** Writes under way; the oldest are forgotten if the disk doesn't answer any more. */
+    /** Limit of writes in flight; beyond it the oldest are dropped, as when the disk has stopped responding. */
     private static final int MAX_WRITES = 4_096;
 
     /** A write to disk, and the commands to confirm to a peer, or to this member itself, once it is done. */
@@ -58,14 +58,15 @@
         this.actions = actions;
     }
 
-    /** Remembers the timestamps of commands from elsewhere; later ones of this member come after them. */
+    /** Records the timestamps of received commands, so that later commands of this member come after them. */
     void observe(OperatorCommands commands) {
         lastTimestampMs = Math.max(lastTimestampMs, commands.lastTimestampMs());
     }
 
-    /** Takes a command and begins its write to disk; see {@link Replica#submitCommand}. */
+    /** Accepts a command and starts its write to disk; see {@link Replica#submitCommand}. */
     OperatorCommand submit(String key, String action, String operator, String reason, long nowMs, long wallMs) {
-        // hybrid logical time: after all that is known, unless a clock far ahead has set it
+        // hybrid logical time: later than all known commands, except those more than the allowed drift ahead of this
+        // clock
         lastTimestampMs = Math.max(wallMs, Math.min(lastTimestampMs + 1, wallMs + settings.maxClockDriftMs()));
         OperatorCommand command =
                 new OperatorCommand(incarnation, lastSequence + 1, lastTimestampMs, action, operator, reason);
@@ -91,7 +92,7 @@
     /**
      * Writes received commands to disk.
      *
-     * @param confirmTo the peer to which the received commands are confirmed after the write, null if none asked
+     * @param confirmTo the peer to which the received commands are confirmed after the write, null if none requested it
      */
     void persistReceived(String key, OperatorCommands received, String confirmTo) {
         ReplicatedStore.Entry entry = store.get(key);
@@ -109,7 +110,7 @@
         actions.store(key, commands, token);
     }
 
-    /** The write with this token is on disk: confirms its commands to those who wait for it. */
+    /** The write with this token is on disk: confirms its commands to the member that waits for it. */
     void onStored(long token, long nowMs) {
         Write write = writes.remove(token);
         if (write == null) {
@@ -134,7 +135,7 @@
         }
     }
 
-    /** Acknowledges commands that are durable, and gives up those that have timed out. */
+    /** Acknowledges commands that are durable, and reports those that have timed out as not durable. */
     void settle(long nowMs) {
         int required = settings.durableCopies();
         pending.settle(
--- a/proxy/src/main/java/cacheproxy/replication/EndpointStatus.java
+++ b/proxy/src/main/java/cacheproxy/replication/EndpointStatus.java
@@ -1,9 +1,9 @@
 package cacheproxy.replication;
 
 /**
- * The state of a cache endpoint as an endpoint list reported it. Merge order: a later start of the endpoint before an
- * earlier one, since it is colder. Within one start the safer state: gone before draining before serving, since using
- * an endpoint that is going away breaks a rule, and not using one that serves costs little.
+ * The state of a cache endpoint as an endpoint list reported it. Merge order: a later start of the endpoint wins over
+ * an earlier one, since its cache is colder. Within one start the safer state wins: gone over draining over serving,
+ * since using an endpoint that is going away is an error, while not using one that serves costs little.
  *
  * @param startedMs when the endpoint last started, Unix time in ms, 0 if long ago; identifies its incarnation
  * @param unknownFields see {@link ReplicatedValue#requireUnknownFields}
--- a/proxy/src/main/java/cacheproxy/replication/EntryKind.java
+++ b/proxy/src/main/java/cacheproxy/replication/EntryKind.java
@@ -10,8 +10,8 @@
     COMMAND("order", OperatorCommands.class, Long.MAX_VALUE),
     /**
      * The status of an endpoint. Members that see the endpoint in their list report it again before it expires. Without
-     * expiry, two halves that were partitioned for longer than a removal is remembered would bring removed endpoints
-     * back.
+     * expiry, a partition that lasts longer than a removal is remembered would bring removed endpoints back when it
+     * heals.
      */
     ENDPOINT("node", EndpointStatus.class, 60_000),
     /** Requests that a member has sent to a warming endpoint; keyed by its start, so that a later start begins at 0. */
@@ -21,7 +21,7 @@
     /** How much a member suspects an endpoint to be an outlier. */
     OUTLIER_SUSPICION("doubt", MemberMetric.class, 10_000);
 
-    /** Characters of a key. */
+    /** Limit of the characters in a key. */
     public static final int MAX_KEY_LENGTH = 256;
 
     private final String prefix;
--- a/proxy/src/main/java/cacheproxy/replication/GossipQueue.java
+++ b/proxy/src/main/java/cacheproxy/replication/GossipQueue.java
@@ -8,8 +8,8 @@
 
 /**
  * Changed entries that are still to be gossiped. Each is sent a limited number of times, to members drawn at random;
- * those sent least often go first (SWIM; Das, Gupta and Motivala, 2002). Members that are missed find the difference by
- * anti-entropy.
+ * those sent least often go first (SWIM; Das, Gupta and Motivala, 2002). Members that receive none of these messages
+ * get the entry by anti-entropy.
  */
 final class GossipQueue {
     /** Beyond this, the entries sent most often are dropped and left to anti-entropy. */
@@ -66,11 +66,11 @@
      */
     List<ReplicatedEntry> next(ReplicatedStore store, int maxBytes, int maxTimes, long nowMs) {
         List<ReplicatedEntry> batch = new ArrayList<>();
-        List<Integer> timesBefore = new ArrayList<>();
-        collect(store, maxBytes, nowMs, batch, timesBefore);
+        List<Integer> timesSentBefore = new ArrayList<>();
+        collect(store, maxBytes, nowMs, batch, timesSentBefore);
         for (int i = 0; i < batch.size(); i++) {
             String key = batch.get(i).key();
-            int times = timesBefore.get(i) + 1;
+            int times = timesSentBefore.get(i) + 1;
             if (times >= maxTimes) {
                 timesSent.remove(key);
             } else {
@@ -82,7 +82,11 @@
     }
 
     private void collect(
-            ReplicatedStore store, int maxBytes, long nowMs, List<ReplicatedEntry> batch, List<Integer> timesBefore) {
+            ReplicatedStore store,
+            int maxBytes,
+            long nowMs,
+            List<ReplicatedEntry> batch,
+            List<Integer> timesSentBefore) {
         int bytes = 0;
         for (int times = 0; times < queues.size(); times++) {
             ArrayDeque<String> queue = queues.get(times);
@@ -101,7 +105,7 @@
                 queue.poll();
                 bytes += entry.encodedBytes();
                 batch.add(entry);
-                timesBefore.add(times);
+                timesSentBefore.add(times);
                 if (bytes >= maxBytes) {
                     return;
                 }
--- a/proxy/src/main/java/cacheproxy/replication/GossipRounds.java
+++ b/proxy/src/main/java/cacheproxy/replication/GossipRounds.java
@@ -4,27 +4,30 @@
 import java.util.List;
 
 /**
- * What a member sends to a random peer in each round: changed entries, and a slice of the whole state in turn. The
+ * Sends to a random peer in each round: changed entries and, in some rounds, the next slice of the whole state. The
  * latter spreads entries where links carry in one direction only and digests can't be compared.
  */
 final class GossipRounds {
-    /** How often each member that receives a metric sends it; about one member in twenty is left to anti-entropy. */
-    private static final int METRIC_TIMES = 3;
+    /**
+     * How often each member that receives a metric sends it. About 1 in 20 members gets the metric by anti-entropy
+     * only.
+     */
+    private static final int METRIC_SENDS = 3;
     /** Rounds on top of log2(members) in which an urgent entry is sent. */
-    private static final int EXTRA_TIMES = 2;
-    /** Shares of the byte budget. */
-    private static final int URGENT_SHARE = 2;
+    private static final int EXTRA_URGENT_SENDS = 2;
+    /** Divisors of the byte budget: each part may use one such share. */
+    private static final int URGENT_BUDGET_DIVISOR = 2;
 
-    private static final int METRIC_SHARE = 4;
-    private static final int SWEEP_SHARE = 8;
+    private static final int METRIC_BUDGET_DIVISOR = 4;
+    private static final int SWEEP_BUDGET_DIVISOR = 8;
 
     private final ReplicatedStore store;
     private final MessageSender sender;
     private final int sweepMaxBytes;
-    private final int urgentTimes;
+    private final int urgentSends;
     /** Commands and endpoint states. */
     private final GossipQueue urgent = new GossipQueue();
-    /** Metrics, which are reported again in any case. */
+    /** Metrics; less urgent, since members report them again periodically. */
     private final GossipQueue metrics = new GossipQueue();
 
     private long sweepAfterHash;
@@ -33,8 +36,8 @@
     GossipRounds(ReplicatedStore store, MessageSender sender, int members, ReplicationSettings settings) {
         this.store = store;
         this.sender = sender;
-        sweepMaxBytes = settings.gossipBytesPerS() / SWEEP_SHARE;
-        urgentTimes = EXTRA_TIMES + (int) Math.ceil(Math.log(members) / Math.log(2));
+        sweepMaxBytes = settings.gossipBytesPerS() / SWEEP_BUDGET_DIVISOR;
+        urgentSends = EXTRA_URGENT_SENDS + (int) Math.ceil(Math.log(members) / Math.log(2));
     }
 
     /** Queues an entry that has changed. */
@@ -53,9 +56,9 @@
             return;
         }
         List<ReplicatedEntry> batch =
-                urgent.next(store, (int) (sender.budgetBytes() / URGENT_SHARE), urgentTimes, nowMs);
+                urgent.next(store, (int) (sender.budgetBytes() / URGENT_BUDGET_DIVISOR), urgentSends, nowMs);
         if (batch.isEmpty()) {
-            batch = metrics.next(store, (int) (sender.budgetBytes() / METRIC_SHARE), METRIC_TIMES, nowMs);
+            batch = metrics.next(store, (int) (sender.budgetBytes() / METRIC_BUDGET_DIVISOR), METRIC_SENDS, nowMs);
         }
         if (!batch.isEmpty()) {
             sender.send(sender.randomPeer(), new Update(batch, false), nowMs);
--- a/proxy/src/main/java/cacheproxy/replication/Message.java
+++ b/proxy/src/main/java/cacheproxy/replication/Message.java
@@ -7,7 +7,7 @@
  * A message from one member to another.
  *
  * @param from the sender's name
- * @param incarnation the sender's, drawn anew at each start
+ * @param incarnation the sender's, generated at each start
  * @param catchingUp whether the sender itself still transfers state
  * @param nowMs the sender's clock, to be returned to it as a reading
  * @param readings the last readings of members' clocks by member name, that of the receiver included if there is one.
@@ -26,7 +26,7 @@
      */
     public record ClockReading(long incarnation, long clockMs, long heldMs) {}
 
-    /** What a message carries. */
+    /** The payload of a message. */
     public sealed interface Body
             permits Update,
                     DigestSummary,
@@ -57,7 +57,7 @@
     /** The digest of the sender's whole state. */
     public record DigestSummary(long digest) implements Body {}
 
-    /** Answers a summary that differs: the digest of each bucket of keys. */
+    /** Reply to a summary that differs: the digest of each bucket of keys. */
     public record BucketDigests(long[] digests) implements Body {
         @Override
         public int encodedBytes() {
@@ -65,7 +65,7 @@
         }
     }
 
-    /** Answers bucket digests that differ: the value's digest by key hash, of all keys in these buckets. */
+    /** Reply to bucket digests that differ: the value's digest by key hash, of all keys in these buckets. */
     public record KeyDigests(List<Integer> buckets, Map<Long, Long> digests) implements Body {
         @Override
         public int encodedBytes() {
@@ -73,7 +73,7 @@
         }
     }
 
-    /** Asks for entries by key hash. */
+    /** Requests entries by key hash. */
     public record EntryRequest(List<Long> keyHashes) implements Body {
         @Override
         public int encodedBytes() {
@@ -90,7 +90,7 @@
     }
 
     /**
-     * Asks for a page of a state transfer.
+     * Requests a page of a state transfer.
      *
      * @param afterHash the page begins after this key hash, in unsigned order
      * @param first whether the page begins at the first key instead
--- a/proxy/src/main/java/cacheproxy/replication/MessageSender.java
+++ b/proxy/src/main/java/cacheproxy/replication/MessageSender.java
@@ -6,10 +6,10 @@
 
 /**
  * Sends messages to peers and accounts for their bytes: one budget for gossip and anti-entropy, from which state
- * transfers are exempt. Messages that were due may overdraw it; the debt is bounded.
+ * transfers are exempt. Messages that must be sent may overdraw it, up to a limit.
  */
 final class MessageSender {
-    /** The budget, and its debt, are at most what accrues in this time. */
+    /** Limit of the budget, and of its overdraft: what accrues in this time. */
     static final double BURST_S = 1;
 
     private static final double MS_PER_S = 1e3;
--- a/proxy/src/main/java/cacheproxy/replication/OperatorCommand.java
+++ b/proxy/src/main/java/cacheproxy/replication/OperatorCommand.java
@@ -1,16 +1,16 @@
 package cacheproxy.replication;
 
 /**
- * A command that an operator gave once, about one subject.
+ * A command of an operator about one subject.
  *
- * @param incarnation of the member that took it: drawn anew at each start, so that a member restored from an old disk
- *     can't give two commands the same identity
+ * @param incarnation of the member that accepted it, generated at each start, so that a member restored from an old
+ *     disk can't give two commands the same identity
  * @param sequence of the command within that incarnation, from 1
  * @param timestampMs hybrid logical time, Unix time in ms: later than all commands known to the member, but at most a
  *     bound ahead of its own clock
- * @param action what is to be done, {@link #CLEAR} to withdraw earlier commands
- * @param operator who gave it, for the record
- * @param reason why, for the record
+ * @param action the action to take, or {@link #CLEAR} to withdraw earlier commands
+ * @param operator name of the operator, for the record
+ * @param reason the operator's reason, for the record
  * @param unknownFields see {@link ReplicatedValue#requireUnknownFields}
  */
 public record OperatorCommand(
@@ -22,9 +22,9 @@
         String reason,
         String unknownFields) {
     public static final String CLEAR = "clear";
-    /** Characters of an action or an operator's name. */
+    /** Limit of the characters in an action or an operator's name. */
     public static final int MAX_NAME_LENGTH = 128;
-    /** Characters of a reason. */
+    /** Limit of the characters in a reason. */
     public static final int MAX_REASON_LENGTH = 512;
 
     /** Throws {@link InvalidFieldException}, with the field's name on the wire. */
@@ -65,7 +65,7 @@
         return incarnation == other.incarnation && sequence == other.sequence;
     }
 
-    /** Of two copies of one command the one that has kept more; a total order, whatever the copies contain. */
+    /** The more complete of two copies of one command; a total order, whatever the copies contain. */
     OperatorCommand moreComplete(OperatorCommand other) {
         int order = ReplicatedValue.compareUnknownFields(unknownFields, other.unknownFields);
         order = order == 0 ? Long.compare(timestampMs, other.timestampMs) : order;
--- a/proxy/src/main/java/cacheproxy/replication/OperatorCommands.java
+++ b/proxy/src/main/java/cacheproxy/replication/OperatorCommands.java
@@ -7,20 +7,20 @@
 import java.util.TreeMap;
 
 /**
- * The commands on one subject that no later command has superseded. A command supersedes all that the member which took
- * it knew, whatever the clocks say, so that a clock an hour ahead does not win for an hour. Concurrent commands are all
- * kept and shown as a conflict; until an operator settles it the latest timestamp is in effect, and a command that asks
- * for something goes before one that clears.
+ * The commands on one subject that no later command has superseded. A command supersedes all commands that were known
+ * to the member which accepted it, whatever their timestamps; otherwise a clock an hour ahead would win for an hour.
+ * Concurrent commands are all kept and shown as a conflict; until an operator resolves it the command with the latest
+ * timestamp is in effect, and any other command takes precedence over one that clears.
  *
  * <p>A multi-value register with dotted version vectors (Preguica, Baquero, Almeida, Fonte, Goncalves, 2012).
  */
 public final class OperatorCommands implements ReplicatedValue {
     /**
-     * Incarnations that may have given commands on one subject. The version vector never forgets any, not even where
-     * all is cleared: a command that came back from an old disk would otherwise be in effect again.
+     * Limit of the incarnations that have given commands on one subject. The version vector never forgets any, not even
+     * where all commands are cleared: a command restored from an old disk would otherwise take effect again.
      */
     static final int MAX_INCARNATIONS = 256;
-    /** Of a copy received from a member: two halves of a partition may each have reached the limit. */
+    /** Limit for a received copy: both sides of a partition may each have reached {@link #MAX_INCARNATIONS}. */
     private static final int MAX_RECEIVED_INCARNATIONS = 4 * MAX_INCARNATIONS;
 
     private static final int MAX_RECEIVED_COMMANDS = 4 * MAX_INCARNATIONS;
@@ -47,15 +47,16 @@
         if (versionVector.size() > MAX_RECEIVED_INCARNATIONS || active.size() > MAX_RECEIVED_COMMANDS) {
             throw new InvalidFieldException(
                     "orders",
-                    active.size() + " of " + versionVector.size() + " lives, over " + MAX_RECEIVED_COMMANDS + " or "
-                            + MAX_RECEIVED_INCARNATIONS);
+                    active.size() + " commands of " + versionVector.size() + " incarnations, over "
+                            + MAX_RECEIVED_COMMANDS + " or " + MAX_RECEIVED_INCARNATIONS);
         }
         List<OperatorCommand> sorted = new ArrayList<>(active);
         sorted.sort(OperatorCommand::compare);
         for (OperatorCommand c : sorted) {
             if (versionVector.getOrDefault(c.incarnation(), 0L) < c.sequence()) {
                 throw new InvalidFieldException(
-                        "orders", "one of life " + c.incarnation() + " that its version vector does not cover");
+                        "orders",
+                        "a command of incarnation " + c.incarnation() + " that its version vector does not cover");
             }
         }
         return new OperatorCommands(new TreeMap<>(versionVector), List.copyOf(sorted));
--- a/proxy/src/main/java/cacheproxy/replication/PendingCommands.java
+++ b/proxy/src/main/java/cacheproxy/replication/PendingCommands.java
@@ -7,10 +7,10 @@
 import java.util.Set;
 import java.util.function.Consumer;
 
-/** Commands that were submitted here and are not known to be on enough disks yet. */
+/** Commands that were submitted to this member and are not known to be on enough disks yet. */
 final class PendingCommands {
     static final int MAX_PENDING = 64;
-    /** After this the operator learns that the command isn't safe, and how many disks hold it. */
+    /** After this the operator is notified that the command isn't durable, and how many disks hold it. */
     static final long TIMEOUT_MS = 10_000;
 
     static final class PendingCommand {
@@ -27,7 +27,7 @@
             this.submittedMs = submittedMs;
         }
 
-        /** Counts a round; whether others are asked to confirm in it: rounds 1, 2, 4, 8 and so on. */
+        /** Counts a round and returns whether peers are asked to confirm in it: in rounds 1, 2, 4, 8 and so on. */
         boolean dueThisRound() {
             rounds++;
             return Integer.bitCount(rounds) == 1;
--- a/proxy/src/main/java/cacheproxy/replication/Replica.java
+++ b/proxy/src/main/java/cacheproxy/replication/Replica.java
@@ -13,11 +13,11 @@
 import java.util.function.BiConsumer;
 
 /**
- * One member's copy of the replicated state, and all decisions on keeping it equal to the others': which entries to
- * accept, when the member is catching up, and which part acts on an event. Performs no I/O: events and the time come in
- * as arguments, {@link ReplicaActions} go out. Not thread-safe; one thread calls all methods.
+ * One member's copy of the replicated state, and the decisions that keep it equal to the others: which entries to
+ * accept, when the member is catching up, and which component handles an event. Performs no I/O: events and the time
+ * come in as arguments, {@link ReplicaActions} go out. Not thread-safe; one thread calls all methods.
  *
- * <p>{@code nowMs} is a monotonic clock that goes on while the process is stopped. The wall clock only provides the
+ * <p>{@code nowMs} is a monotonic clock that advances while the process is stopped. The wall clock only provides the
  * timestamps of commands and is compared with no other member's.
  */
 public final class Replica {
@@ -28,16 +28,16 @@
         /** It transfers the state of others, and sends nothing but what was reported to it since. */
         CATCHING_UP,
         CURRENT,
-        /** It found no donor and goes on with the state it has. */
+        /** It found no donor and continues with the state it has. */
         ALONE
     }
 
     /**
-     * What operators are shown.
+     * The status that is shown to operators.
      *
      * @param sinceMs when the state was entered, by the replica's clock
      * @param donor the member that state is transferred from, null if none
-     * @param silentMs time since another member was last heard
+     * @param silentMs time since a message of another member was last received
      * @param conflicts subjects with conflicting commands
      * @param pendingCommands commands that are not acknowledged yet
      * @param staleMessages messages rejected for their age
@@ -58,7 +58,7 @@
 
     /** Rounds between two digest summaries, and between two slices of the whole state. */
     private static final int SUMMARY_INTERVAL_ROUNDS = 5;
-    /** The digest in the summary of a member that is catching up, which nobody compares. */
+    /** The digest in the summary of a member that is catching up, which no member compares. */
     private static final long NO_DIGEST = 0;
 
     private final String member;
@@ -87,8 +87,8 @@
 
     /**
      * @param member its name, unique among members
-     * @param incarnation drawn anew at each start, and larger than at earlier starts as far as this machine's clock
-     *     allows
+     * @param incarnation generated at each start, and larger than at earlier starts unless this machine's clock was set
+     *     back
      * @param peers the names of all other members
      * @param seed of all random choices
      */
@@ -131,7 +131,7 @@
     // ---- reports to this member ----
 
     /**
-     * Takes an operator's command.
+     * Accepts an operator's command.
      *
      * @param wallMs Unix time in ms
      * @return its sequence number, which {@link ReplicaActions#commandAcknowledged} repeats
@@ -148,14 +148,14 @@
         return command.sequence();
     }
 
-    /** Takes the status of an endpoint from this member's endpoint list. */
+    /** Reports the status of an endpoint from this member's endpoint list. */
     public void reportEndpoint(String endpoint, EndpointStatus status, long nowMs) {
         detectAbsence(nowMs);
         update(EntryKind.ENDPOINT.key(endpoint), status, nowMs);
     }
 
     /**
-     * Takes a metric of this member itself.
+     * Reports a metric of this member itself.
      *
      * @throws InvalidFieldException if the kind is no metric, or the subject can't be part of a key
      */
@@ -230,8 +230,8 @@
     }
 
     /**
-     * Equal where two replicas behave the same from here on, whatever the events, for a model checker that visits all
-     * states. Times count relative to now.
+     * Equal for two replicas that would respond alike to all further events; lets a model checker recognize states that
+     * it has visited. Times are taken relative to now.
      */
     public long fingerprint(long nowMs) {
         long f = ReplicatedValue.mix(incarnation + state.ordinal());
@@ -249,8 +249,8 @@
     // ---- events ----
 
     /**
-     * Called first at every event: a process that was stopped for long has to notice it before it accepts what waited
-     * in its sockets, and before it sends anything.
+     * Called first at every event: a process that was stopped for long has to detect this before it accepts messages
+     * queued in its sockets, and before it sends anything.
      */
     private void detectAbsence(long nowMs) {
         boolean stopped = nowMs - lastEventMs > settings.silenceTimeoutMs();
@@ -311,10 +311,10 @@
 
     private void catchUp(long nowMs) {
         boolean timedOut = nowMs - stateSinceMs >= settings.donorTimeoutMs();
-        boolean heard = nowMs - lastHeardMs < settings.donorTimeoutMs();
+        boolean receivedRecently = nowMs - lastHeardMs < settings.donorTimeoutMs();
         boolean receiving = nowMs - transfer.lastPageMs() < settings.donorTimeoutMs();
-        if (transfer.sufficient() || timedOut && !receiving && (transfer.anyCompleted() || heard)) {
-            // one donor is left, or all members are catching up: what they hold is all there is
+        if (transfer.sufficient() || timedOut && !receiving && (transfer.anyCompleted() || receivedRecently)) {
+            // only one donor is reachable, or all members are catching up: there is no more state to get
             enter(State.CURRENT, nowMs);
             return;
         }
@@ -327,7 +327,7 @@
         }
     }
 
-    /** Takes a message whose form has been checked. */
+    /** Handles a message whose format has been checked. */
     public void receive(Message message, long nowMs) {
         detectAbsence(nowMs);
         String from = message.from();
@@ -379,11 +379,11 @@
         }
     }
 
-    /** Time in transit adds to the age: an entry that is passed around for long enough would otherwise never expire. */
+    /** Time in transit adds to the age: an entry that members keep forwarding would otherwise never expire. */
     private void mergeAll(List<ReplicatedEntry> entries, String confirmTo, long transitMs, long nowMs) {
         for (ReplicatedEntry entry : entries) {
             if (EntryKind.ofKey(entry.key()) == null) {
-                rejectedEntries++; // of a newer version; it is sent again once this member knows its kind
+                rejectedEntries++; // of a newer version; sent again by other members once this member is updated
                 continue;
             }
             merge(entry, confirmTo, transitMs, nowMs);
--- a/proxy/src/main/java/cacheproxy/replication/ReplicaActions.java
+++ b/proxy/src/main/java/cacheproxy/replication/ReplicaActions.java
@@ -1,8 +1,8 @@
 package cacheproxy.replication;
 
 /**
- * What a {@link Replica} asks of the process that runs it. Called from within the replica's own methods; an
- * implementation must not call back into the replica before those return.
+ * The operations that a {@link Replica} needs from the process that runs it. Called from within the replica's own
+ * methods; an implementation must not call back into the replica before those return.
  */
 public interface ReplicaActions {
     /** Sends a message to a member if it can be reached. The replica isn't notified whether it was. */
--- a/proxy/src/main/java/cacheproxy/replication/ReplicaBusyException.java
+++ b/proxy/src/main/java/cacheproxy/replication/ReplicaBusyException.java
@@ -1,6 +1,6 @@
 package cacheproxy.replication;
 
-/** A replica cannot take another command now: a stated limit is reached. The command was not taken. */
+/** A replica rejected a command because it has reached a limit, which the message names. */
 public final class ReplicaBusyException extends IllegalStateException {
     private static final long serialVersionUID = 1L;
 
--- a/proxy/src/main/java/cacheproxy/replication/ReplicatedStore.java
+++ b/proxy/src/main/java/cacheproxy/replication/ReplicatedStore.java
@@ -69,7 +69,7 @@
         return (int) (keyHash >>> BUCKET_SHIFT);
     }
 
-    /** Merges a value into the entry; whether that changed it. False also if the store is full. */
+    /** Merges a value into the entry and returns whether that changed it. Also false if the store is full. */
     boolean merge(String key, ReplicatedValue value, long ageMs, long nowMs) {
         EntryKind kind = EntryKind.ofKey(key);
         if (kind == null || !kind.accepts(value) || kind.expires() && ageMs >= kind.timeToLiveMs) {
@@ -81,7 +81,8 @@
         }
         ReplicatedValue merged = entry.value.merge(value);
         if (merged.equals(entry.value)) {
-            // reported again, or contradicted: a removal is remembered for as long as any member says otherwise
+            // the value stands and its age restarts: a removal is remembered for as long as members still report the
+            // endpoint
             entry.writtenMs = Math.max(entry.writtenMs, nowMs - ageMs);
             return restoreToDigests(entry, nowMs);
         }
@@ -113,7 +114,7 @@
         addDigest(entry, entry.keyHash ^ entry.value.digest());
     }
 
-    /** An entry that had expired and was not dropped yet is valid again; whether it was so. */
+    /** Adds an entry back that had expired and was not dropped yet; returns whether it did. */
     private boolean restoreToDigests(Entry entry, long nowMs) {
         boolean restored = !entry.inDigests && !entry.expired(nowMs);
         if (restored) {
@@ -201,7 +202,7 @@
         }
     }
 
-    /** Entries in key hash order, after this hash or from the first, up to this size, but at least one if there is. */
+    /** Entries in key hash order, after this hash or from the first, up to this size, but at least one if any. */
     List<ReplicatedEntry> page(long afterHash, boolean first, int maxBytes, long nowMs) {
         List<ReplicatedEntry> page = new ArrayList<>();
         int bytes = 0;
--- a/proxy/src/main/java/cacheproxy/replication/ReplicationSettings.java
+++ b/proxy/src/main/java/cacheproxy/replication/ReplicationSettings.java
@@ -1,14 +1,15 @@
 package cacheproxy.replication;
 
 /**
- * How members replicate; the same on all members.
+ * Settings of replication; must be the same on all members.
  *
  * @param roundMs time between two gossip rounds
- * @param gossipBytesPerS limit of what a member sends, state transfers excluded; the same for any number of members
+ * @param gossipBytesPerS limit of what a member sends, state transfers excluded; independent of the number of members
  * @param transferBytesPerS limit of what a member sends for state transfers, in all
  * @param durableCopies disks that must hold a command before it is acknowledged, that of the submitting member included
- * @param silenceTimeoutMs after hearing no other member for this long, a member transfers state before it sends any
- * @param donorTimeoutMs after finding no donor for this long, a member goes on with the state it has
+ * @param silenceTimeoutMs after receiving nothing from other members for this long, a member transfers state before it
+ *     sends any
+ * @param donorTimeoutMs after finding no donor for this long, a member continues with the state it has
  * @param maxMessageAgeMs entries of messages that may have been in transit for longer are rejected
  * @param maxClockDriftMs how far a command's timestamp may be ahead of the member's own clock
  */
@@ -32,7 +33,7 @@
         requireRange("bytesPerS", gossipBytesPerS, 512, 1 << 30);
         requireRange("copyBytesPerS", transferBytesPerS, 512, 1 << 30);
         requireRange("copies", durableCopies, 1, 64);
-        // a member must notice its silence before the removals that it missed have expired
+        // a member must detect its own absence before the removals that it missed have expired
         requireRange("awayMs", silenceTimeoutMs, roundMs, EntryKind.ENDPOINT.timeToLiveMs / 2);
         requireRange("aloneMs", donorTimeoutMs, roundMs, HOUR_MS);
         requireRange("lateMs", maxMessageAgeMs, 1, EntryKind.ENDPOINT.timeToLiveMs / 4);
--- a/proxy/src/main/java/cacheproxy/replication/StateDonor.java
+++ b/proxy/src/main/java/cacheproxy/replication/StateDonor.java
@@ -8,7 +8,7 @@
 final class StateDonor {
     private static final int PAGE_BYTES = 4 << 10;
     private static final int PAGE_OVERHEAD_BYTES = 64;
-    /** A member that was paused accrues no more budget than this. */
+    /** Longest time for which budget accrues at once, as after a pause of the process. */
     private static final long MAX_REFILL_MS = 1_000;
 
     private static final double MS_PER_S = 1e3;
@@ -30,7 +30,7 @@
                 budgetBytes + settings.transferBytesPerS() * Math.min(elapsedMs, MAX_REFILL_MS) / MS_PER_S);
     }
 
-    /** {@code commandsOnly}: this member is catching up, so that only its commands are known to be valid. */
+    /** {@code commandsOnly}: this member is catching up itself, so that only its commands are known to be valid. */
     void onRequest(String from, TransferRequest request, boolean commandsOnly, long nowMs) {
         if (budgetBytes <= 0) {
             sender.send(from, new TransferPage(List.of(), 0, false, true), nowMs);
--- a/proxy/src/main/java/cacheproxy/replication/StateTransfer.java
+++ b/proxy/src/main/java/cacheproxy/replication/StateTransfer.java
@@ -7,9 +7,9 @@
 import java.util.SplittableRandom;
 
 /**
- * The receiving side of state transfer: fetches the whole state from several donors, page by page. If a donor dies
- * halfway, what it sent stays, since a merge is idempotent, and the next donor is asked from the first page. Only
- * transfers from donors that are not catching up themselves count.
+ * The receiving side of state transfer: fetches the whole state from several donors, page by page. If a donor fails
+ * halfway, the entries that it sent are kept, since a merge is idempotent, and the next donor is asked from the first
+ * page. Only transfers from donors that are not catching up themselves count.
  */
 final class StateTransfer {
     /** Complete transfers from different donors that suffice; fewer if there are fewer peers. */
@@ -65,7 +65,7 @@
         return lastPageMs;
     }
 
-    /** The donor that is being asked; null if there is none. */
+    /** The donor of the transfer in progress; null if there is none. */
     String donor() {
         return donor;
     }
@@ -92,7 +92,7 @@
                 .filter(p -> !completed.contains(p) && !tried.contains(p))
                 .toList();
         if (candidates.isEmpty()) {
-            tried.clear(); // all were silent or catching up: start over
+            tried.clear(); // all timed out, were busy or were catching up: start over
             candidates = peers.stream().filter(p -> !completed.contains(p)).toList();
         }
         donor = candidates.isEmpty() ? null : candidates.get(random.nextInt(candidates.size()));
--- a/proxy/src/test/java/cacheproxy/control/Certificates.java
+++ b/proxy/src/test/java/cacheproxy/control/Certificates.java
@@ -24,35 +24,36 @@
 import javax.net.ssl.TrustManagerFactory;
 import javax.net.ssl.X509ExtendedKeyManager;
 
-/** Keys and certificates made by the JDK's keytool in a folder, and their PEM. */
+/** Keys and certificates that the JDK's keytool generates in a folder, and their PEM form. */
 public final class Certificates {
-    private static final String WORD = "for the tests";
+    private static final String STORE_PASSWORD = "for the tests";
 
     private final Path folder;
     private final KeyStore store;
-    private final AtomicInteger shown = new AtomicInteger();
+    private final AtomicInteger certificateRequests = new AtomicInteger();
 
     /**
-     * ca and other: authorities. agent (for 127.0.0.1), elsewhere (for 127.0.0.2), client, expired: signed by ca.
-     * stranger: by other. past: by itself, expired.
+     * Creates the CAs {@code ca} and {@code other}; {@code agent} (for 127.0.0.1), {@code elsewhere} (for 127.0.0.2),
+     * {@code client} and {@code expired}, signed by {@code ca}; {@code stranger}, signed by {@code other}; and
+     * {@code past}, self-signed and expired.
      */
     public Certificates(Path folder) throws Exception {
         this.folder = folder;
-        make("ca", null, "-ext", "bc:c");
-        make("other", null, "-ext", "bc:c");
-        make("agent", "ca", "-ext", "san=ip:127.0.0.1");
-        make("elsewhere", "ca", "-ext", "san=ip:127.0.0.2");
-        make("client", "ca");
-        make("stranger", "other");
-        make("expired", "ca", "-startdate", "-10d", "-validity", "5");
-        make("past", null, "-startdate", "-10d", "-validity", "5");
+        generate("ca", null, "-ext", "bc:c");
+        generate("other", null, "-ext", "bc:c");
+        generate("agent", "ca", "-ext", "san=ip:127.0.0.1");
+        generate("elsewhere", "ca", "-ext", "san=ip:127.0.0.2");
+        generate("client", "ca");
+        generate("stranger", "other");
+        generate("expired", "ca", "-startdate", "-10d", "-validity", "5");
+        generate("past", null, "-startdate", "-10d", "-validity", "5");
         store = KeyStore.getInstance("PKCS12");
         try (InputStream in = Files.newInputStream(folder.resolve("store"))) {
-            store.load(in, WORD.toCharArray());
+            store.load(in, STORE_PASSWORD.toCharArray());
         }
     }
 
-    private void make(String name, String signer, String... more) throws Exception {
+    private void generate(String name, String signer, String... extraArguments) throws Exception {
         List<String> command = new ArrayList<>(List.of(
                 Path.of(System.getProperty("java.home"), "bin", "keytool").toString(),
                 "-J-XX:TieredStopAtLevel=1",
@@ -68,16 +69,16 @@
                 "-keystore",
                 folder.resolve("store").toString(),
                 "-storepass",
-                WORD,
+                STORE_PASSWORD,
                 "-storetype",
                 "PKCS12"));
         if (signer != null) {
             command.addAll(List.of("-signer", signer));
         }
-        command.addAll(List.of(more));
+        command.addAll(List.of(extraArguments));
         Process p = new ProcessBuilder(command).redirectErrorStream(true).start();
-        String said = new String(p.getInputStream().readAllBytes(), StandardCharsets.UTF_8);
-        assertEquals(0, p.waitFor(), said);
+        String output = new String(p.getInputStream().readAllBytes(), StandardCharsets.UTF_8);
+        assertEquals(0, p.waitFor(), output);
     }
 
     private static String pem(String kind, byte[] der) {
@@ -92,10 +93,11 @@
     }
 
     public String key(String name) throws GeneralSecurityException {
-        return pem("PRIVATE KEY", store.getKey(name, WORD.toCharArray()).getEncoded());
+        return pem(
+                "PRIVATE KEY", store.getKey(name, STORE_PASSWORD.toCharArray()).getEncoded());
     }
 
-    /** A file for its owner alone. */
+    /** Writes a file that only its owner can access. */
     public static Path file(Path file, String text) throws IOException {
         Files.deleteIfExists(file);
         Files.createFile(file, PosixFilePermissions.asFileAttribute(PosixFilePermissions.fromString("rw-------")));
@@ -113,7 +115,7 @@
         file(to.resolve("clients.pem"), all.toString());
     }
 
-    /** A folder for the tool; {@code token} null: none. */
+    /** Writes a credentials folder for the tool; no token if {@code token} is null. */
     public Path asking(Path to, String name, String trusted, String token) throws Exception {
         Files.createDirectories(to);
         file(to.resolve("client.pem"), certificate(name));
@@ -125,7 +127,10 @@
         return to;
     }
 
-    /** That shows this certificate whatever is asked for, as an attacker's would; null: it has none. */
+    /**
+     * A client context that always presents this certificate, whichever issuers the server accepts, as an attacker's
+     * would; null for no certificate.
+     */
     public SSLContext context(String name) throws Exception {
         KeyStore trusted = KeyStore.getInstance("PKCS12");
         trusted.load(null, null);
@@ -133,20 +138,20 @@
         TrustManagerFactory trust = TrustManagerFactory.getInstance("PKIX");
         trust.init(trusted);
         SSLContext context = SSLContext.getInstance("TLS");
-        KeyManager[] shows = name == null ? null : new KeyManager[] {new Stubborn(name)};
-        context.init(shows, trust.getTrustManagers(), null);
+        KeyManager[] keyManagers = name == null ? null : new KeyManager[] {new FixedAliasKeyManager(name)};
+        context.init(keyManagers, trust.getTrustManagers(), null);
         return context;
     }
 
-    /** How often a certificate was asked for in a handshake of those contexts. */
-    int shown() {
-        return shown.get();
+    /** How often servers requested a certificate in handshakes of these contexts. */
+    int certificateRequests() {
+        return certificateRequests.get();
     }
 
-    private final class Stubborn extends X509ExtendedKeyManager {
+    private final class FixedAliasKeyManager extends X509ExtendedKeyManager {
         private final String name;
 
-        Stubborn(String name) {
+        FixedAliasKeyManager(String name) {
             this.name = name;
         }
 
@@ -157,7 +162,7 @@
 
         @Override
         public String chooseClientAlias(String[] types, Principal[] issuers, Socket socket) {
-            shown.incrementAndGet();
+            certificateRequests.incrementAndGet();
             return name;
         }
 
@@ -186,7 +191,7 @@
         @Override
         public PrivateKey getPrivateKey(String alias) {
             try {
-                return (PrivateKey) store.getKey(alias, WORD.toCharArray());
+                return (PrivateKey) store.getKey(alias, STORE_PASSWORD.toCharArray());
             } catch (GeneralSecurityException e) {
                 throw new IllegalStateException(e);
             }
--- a/proxy/src/test/java/cacheproxy/control/ControlServerTest.java
+++ b/proxy/src/test/java/cacheproxy/control/ControlServerTest.java
@@ -35,14 +35,14 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** The server of a control channel alone, with operations that the test answers, and clients good and bad. */
+/** Tests the control server with scripted operations, and with well-behaved and faulty clients. */
 @Timeout(60)
 class ControlServerTest {
-    private static final int MOST_CONNECTIONS = 32;
+    private static final int MAX_CONNECTIONS = 32;
 
     private final BlockingQueue<ControlServer.Reply> kept = new LinkedBlockingQueue<>();
-    private final AtomicInteger asked = new AtomicInteger();
-    private final AtomicInteger bigs = new AtomicInteger();
+    private final AtomicInteger handledRequests = new AtomicInteger();
+    private final AtomicInteger bigReplies = new AtomicInteger();
     private final List<AutoCloseable> opened = new ArrayList<>();
     private final EventLoop loop = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory()).next();
     private Path folder;
@@ -68,12 +68,12 @@
     }
 
     private void answer(String op, Map<String, Object> request, ControlServer.Reply reply) {
-        asked.incrementAndGet();
+        handledRequests.incrementAndGet();
         switch (op) {
             case "echo" -> reply.end(Map.of("text", String.valueOf(request.get("text"))));
             case "keep" -> kept.add(reply);
             case "big" -> {
-                bigs.incrementAndGet();
+                bigReplies.incrementAndGet();
                 reply.end(Map.of("text", "x".repeat(1 << 16)));
             }
             case "throw" -> throw new IllegalStateException("for the test");
@@ -81,7 +81,7 @@
         }
     }
 
-    private ControlServer served(Path at) {
+    private ControlServer startServer(Path at) {
         ControlServer server = ControlServer.open(loop, at, this::answer);
         opened.add(server);
         return server;
@@ -97,7 +97,7 @@
         return "{\"v\":1,\"op\":\"" + op + "\",\"id\":" + id + ",\"text\":\"t" + id.replace("\"", "") + "\"}";
     }
 
-    private static void echoed(RawClient client, String id) throws IOException {
+    private static void assertEchoed(RawClient client, String id) throws IOException {
         assertEquals(
                 Map.of("v", 1, "id", Integer.parseInt(id), "ok", true, "text", "t" + id, "end", true),
                 client.ask(request("echo", id)));
@@ -105,18 +105,18 @@
 
     private ControlServer.Reply kept() throws InterruptedException {
         ControlServer.Reply reply = kept.poll(10, TimeUnit.SECONDS);
-        assertTrue(reply != null, "nothing was asked");
+        assertTrue(reply != null, "no request was handled");
         return reply;
     }
 
     // ---- requests and replies ----
 
     @Test
-    void aReplyRepeatsTheIdAndSaysThatItIsTheLast() throws Exception {
-        served(path);
+    void replyRepeatsIdAndMarksEnd() throws Exception {
+        startServer(path);
         RawClient client = client();
-        echoed(client, "7");
-        echoed(client, "7"); // an id is the client's own business
+        assertEchoed(client, "7");
+        assertEchoed(client, "7"); // the server doesn't require ids to be unique
         assertEquals("a", client.ask(request("echo", "\"a\"")).get("id"));
         assertEquals(
                 List.of(1, 2),
@@ -127,8 +127,8 @@
     }
 
     @Test
-    void aReplyOfSeveralEndsOnceAndThenSaysNoMore() throws Exception {
-        served(path);
+    void ignoresPartsAfterLastReply() throws Exception {
+        startServer(path);
         RawClient client = client();
         client.send(request("keep", "1") + "\n");
         ControlServer.Reply reply = kept();
@@ -141,22 +141,22 @@
         for (int i = 1; i <= 3; i++) {
             assertEquals(Map.of("v", 1, "id", 1, "ok", true, "n", i, "end", i == 3), client.reply());
         }
-        echoed(client, "2");
+        assertEchoed(client, "2");
     }
 
     @Test
-    void aFailureSaysWhyAndTheConnectionGoesOn() throws Exception {
-        served(path);
+    void keepsConnectionOpenAfterFailedRequest() throws Exception {
+        startServer(path);
         RawClient client = client();
         assertEquals(
                 Map.of("v", 1, "id", 1, "ok", false, "error", "no such operation", "end", true),
                 client.ask(request("nothing", "1")));
-        echoed(client, "2");
+        assertEchoed(client, "2");
     }
 
     @Test
-    void theClientOfOurOwnAsksAndIsAnswered() throws Exception {
-        served(path);
+    void controlClientReceivesReplyOrTimesOut() throws Exception {
+        startServer(path);
         Map<String, Object> request = ControlCodec.request("echo");
         request.put("text", "hello");
         assertEquals("hello", ControlClient.call(path, request, 10_000).get("text"));
@@ -167,8 +167,8 @@
 
     /** A request of another version may mean something else and must not be handled. */
     @Test
-    void anotherVersionAndWhatIsNoRequestAreToldSoAndTheConnectionEnds() throws Exception {
-        served(path);
+    void rejectsUnknownVersionsAndMalformedRequests() throws Exception {
+        startServer(path);
         for (String bad : new String[] {
             "{\"v\":2,\"op\":\"echo\"}",
             "{\"v\":0,\"op\":\"echo\"}",
@@ -206,39 +206,39 @@
             assertEquals("not a JSON object with an op", reply.get("error"), bad);
             client.expectEnd();
         }
-        assertEquals(0, asked.get());
-        echoed(client(), "1");
+        assertEquals(0, handledRequests.get());
+        assertEchoed(client(), "1");
     }
 
     /** What follows a malformed request may be a part of it: a drain in it must not be handled. */
     @Test
-    void afterNonsenseNothingMoreOfTheConnectionIsLookedAt() throws Exception {
-        served(path);
+    void ignoresRequestsAfterMalformedOne() throws Exception {
+        startServer(path);
         RawClient client = client();
         client.send("x\n" + (request("echo", "1") + "\n").repeat(50));
         assertEquals("not a JSON object with an op", client.reply().get("error"));
         client.expectEnd();
-        echoed(client(), "2");
-        assertEquals(1, asked.get());
+        assertEchoed(client(), "2");
+        assertEquals(1, handledRequests.get());
     }
 
     @Test
-    void anOperationThatThrowsEndsItsConnectionAlone() throws Exception {
-        served(path);
+    void closesOnlyConnectionWhoseHandlerThrows() throws Exception {
+        startServer(path);
         RawClient other = client();
-        echoed(other, "1");
+        assertEchoed(other, "1");
         RawClient client = client();
         client.send(request("throw", "1") + "\n");
         client.expectEnd();
-        echoed(other, "2");
-        echoed(client(), "3");
+        assertEchoed(other, "2");
+        assertEchoed(client(), "3");
     }
 
     // ---- lines ----
 
     @Test
-    void aLineOfSixtyFourKilobytesIsTakenAndOneByteMoreIsNot() throws Exception {
-        served(path);
+    void acceptsRequestsOfUpTo64Kilobytes() throws Exception {
+        startServer(path);
         String shortest = "{\"v\":1,\"op\":\"echo\",\"text\":\"\"}";
         String text = "x".repeat(ControlCodec.MAX_REQUEST_BYTES - shortest.length());
         RawClient client = client();
@@ -247,13 +247,13 @@
         client.send(shortest.replace("\"\"", "\"x" + text + "\"") + "\n");
         assertEquals("a request of more than 65536 bytes", client.reply().get("error"));
         client.expectEnd();
-        assertEquals(1, asked.get());
+        assertEquals(1, handledRequests.get());
     }
 
     /** A line without an end must not be read forever. */
     @Test
-    void aLineWithoutAnEndIsRefusedOnceItIsTooLong() throws Exception {
-        served(path);
+    void rejectsLineWithoutLineFeedOnceTooLong() throws Exception {
+        startServer(path);
         RawClient client = client();
         String piece = "x".repeat(1 << 16);
         assertThrows(
@@ -263,23 +263,23 @@
                         client.send(piece);
                     }
                 },
-                "64 MB of it were read");
+                "64 MB of one line were read");
     }
 
     @Test
-    void halfALineAndThenTheEndIsNoRequest() throws Exception {
-        served(path);
+    void ignoresIncompleteLineAtEndOfStream() throws Exception {
+        startServer(path);
         RawClient client = client();
-        client.send(request("echo", "1")); // its last byte is missing, and may have been all the others
+        client.send(request("echo", "1")); // without its line feed the request may be incomplete
         client.endSending();
         client.expectEnd();
-        assertEquals(0, asked.get());
+        assertEquals(0, handledRequests.get());
     }
 
-    /** As with {@code nc}: the request, the end of sending, and then the reply is awaited. */
+    /** Clients like {@code nc} shut down their output after the request and then wait for the reply. */
     @Test
-    void whoEndsSendingAfterARequestStillHasItsReply() throws Exception {
-        served(path);
+    void repliesToClientThatHasShutDownItsOutput() throws Exception {
+        startServer(path);
         RawClient client = client();
         client.send(request("echo", "1") + "\n");
         client.endSending();
@@ -289,13 +289,13 @@
 
     /** Clients that hang must not use up the connection limit. */
     @Test
-    void whoSaysNothingOrStopsInsideALineIsLetGo() throws Exception {
+    void closesIdleConnections() throws Exception {
         opened.add(ControlServer.open(loop, path, this::answer, 100));
         RawClient silent = client();
         RawClient half = client();
         half.send("{\"v\":1,");
         RawClient after = client();
-        echoed(after, "1");
+        assertEchoed(after, "1");
         silent.expectEnd();
         half.expectEnd();
         after.expectEnd();
@@ -303,7 +303,7 @@
 
     /** A drain takes long; a client that waits for its end is not idle. */
     @Test
-    void whoWaitsForALongReplyIsNotLetGo() throws Exception {
+    void keepsConnectionThatWaitsForReply() throws Exception {
         opened.add(ControlServer.open(loop, path, this::answer, 100));
         RawClient client = client();
         client.send(request("keep", "1") + "\n");
@@ -316,12 +316,12 @@
         client.expectEnd();
     }
 
-    // ---- bounds ----
+    // ---- limits ----
 
     /** Pipelined requests are handled one after the other, however many a client writes at once. */
     @Test
-    void requestsSentTogetherAreDoneOneAfterTheOther() throws Exception {
-        served(path);
+    void handlesPipelinedRequestsSequentially() throws Exception {
+        startServer(path);
         RawClient client = client();
         RawClient other = client();
         StringBuilder all = new StringBuilder();
@@ -331,8 +331,8 @@
         client.send(all.toString());
         for (int i = 0; i < 300; i++) {
             ControlServer.Reply reply = kept();
-            echoed(other, Integer.toString(i));
-            assertTrue(kept.isEmpty(), "the next one was begun before the end of this");
+            assertEchoed(other, Integer.toString(i));
+            assertTrue(kept.isEmpty(), "the next request was handled before the last reply to this one");
             reply.part(Map.of());
             reply.end(Map.of());
             assertEquals(i, client.reply().get("id"));
@@ -342,42 +342,43 @@
 
     /** Replies that a client doesn't read must not fill the memory. */
     @Test
-    void whoNeverReadsItsRepliesIsAskedNoMore() throws Exception {
-        served(path);
+    void stopsReadingFromClientThatReadsNoReplies() throws Exception {
+        startServer(path);
         RawClient other = client();
-        List<RawClient> deaf = new ArrayList<>();
+        List<RawClient> nonReading = new ArrayList<>();
         List<ByteBuffer> out = new ArrayList<>();
         for (int i = 0; i < 10; i++) {
-            deaf.add(client());
+            nonReading.add(client());
             out.add(StandardCharsets.UTF_8.encode((request("big", "1") + "\n").repeat(20_000)));
         }
-        for (int quiet = 0, round = 0; quiet < 50; round++) { // until it takes nothing more, and says so
+        for (int idleRounds = 0, round = 0; idleRounds < 50; round++) { // until the server reads no more for 50 rounds
             int taken = 0;
-            for (int i = 0; i < deaf.size(); i++) {
-                taken += deaf.get(i).offer(out.get(i));
+            for (int i = 0; i < nonReading.size(); i++) {
+                taken += nonReading.get(i).offer(out.get(i));
             }
-            echoed(other, Integer.toString(round));
-            quiet = taken == 0 ? quiet + 1 : 0;
+            assertEchoed(other, Integer.toString(round));
+            idleRounds = taken == 0 ? idleRounds + 1 : 0;
         }
-        assertTrue(bigs.get() >= deaf.size(), "they were heard");
-        assertTrue(bigs.get() <= 10 * deaf.size(), bigs + " replies of 64 KB for ten that read none");
-        assertEquals(1 << 16, deaf.get(0).reply().get("text").toString().length(), "none was cut off");
+        assertTrue(bigReplies.get() >= nonReading.size(), "requests of the clients were handled");
+        assertTrue(bigReplies.get() <= 10 * nonReading.size(), bigReplies + " replies of 64 KB for ten that read none");
+        assertEquals(
+                1 << 16, nonReading.get(0).reply().get("text").toString().length(), "replies must not be truncated");
     }
 
     @Test
-    void whoTakesNoReplyIsLetGoAfterAWhile() throws Exception {
+    void closesClientThatReadsNoReplies() throws Exception {
         opened.add(ControlServer.open(loop, path, this::answer, 100));
-        RawClient deaf = client();
+        RawClient nonReading = client();
         assertThrows(IOException.class, () -> {
             while (true) {
-                deaf.send(request("big", "1") + "\n"); // until nothing is taken, and then it ends
+                nonReading.send(request("big", "1") + "\n"); // until the server reads no more and then closes
             }
         });
     }
 
     @Test
-    void aLongReplyToOneThatHasGoneIsSeenToBeOver() throws Exception {
-        served(path);
+    void detectsClientGoneWhileSendingParts() throws Exception {
+        startServer(path);
         RawClient client = client();
         client.send(request("keep", "1") + "\n");
         ControlServer.Reply reply = kept();
@@ -391,7 +392,7 @@
 
     /** A client that has gone must not keep its connection while there is nothing to send to it. */
     @Test
-    void aLongReplyToOneThatHasGoneEndsAlsoWhereThereIsNothingToSay() throws Exception {
+    void detectsClientGoneWithoutSending() throws Exception {
         opened.add(ControlServer.open(loop, path, this::answer, 100));
         RawClient client = client();
         client.send(request("keep", "1") + "\n");
@@ -403,7 +404,7 @@
     }
 
     @Test
-    void whatIsSentDuringALongReplyIsDoneAfterIt() throws Exception {
+    void handlesRequestsSentDuringLongReplyAfterwards() throws Exception {
         opened.add(ControlServer.open(loop, path, this::answer, 100));
         RawClient client = client();
         client.send(request("keep", "1") + "\n");
@@ -412,7 +413,7 @@
         for (int i = 0; i < 4; i++) {
             client().expectEnd(); // each of these was silent for as long
         }
-        assertTrue(kept.isEmpty(), "the next one was begun before the end of this");
+        assertTrue(kept.isEmpty(), "the next request was handled before the last reply to this one");
         for (int i = 1; i <= 3; i++) {
             reply.end(Map.of());
             assertEquals(i, client.reply().get("id"));
@@ -422,30 +423,30 @@
 
     /** Each connection holds a file descriptor, which the process needs for requests. */
     @Test
-    void ofAHundredConnectionsTheFirstStayAndTheOthersAreToldSo() throws Exception {
-        served(path);
+    void rejectsConnectionsOverLimit() throws Exception {
+        startServer(path);
         List<RawClient> first = new ArrayList<>();
-        for (int i = 0; i < MOST_CONNECTIONS; i++) {
+        for (int i = 0; i < MAX_CONNECTIONS; i++) {
             first.add(client());
-            echoed(first.get(i), "1");
+            assertEchoed(first.get(i), "1");
         }
-        for (int i = MOST_CONNECTIONS; i < 100; i++) {
+        for (int i = MAX_CONNECTIONS; i < 100; i++) {
             RawClient more = client();
             assertEquals(Map.of("v", 1, "ok", false, "error", "too many connections", "end", true), more.reply());
             more.expectEnd();
         }
         for (RawClient c : first) {
-            echoed(c, "2");
+            assertEchoed(c, "2");
         }
         first.get(0).send("x\n");
         first.get(0).reply();
-        first.get(0).expectEnd(); // it is counted no more before its end is seen
-        echoed(client(), "3");
+        first.get(0).expectEnd(); // the server stops counting it before the client sees the close
+        assertEchoed(client(), "3");
     }
 
     @Test
-    void aHundredConnectionsAtOnceAreEachAnsweredOrToldSo() throws Exception {
-        served(path);
+    void servesOrRejectsEachOf100ConcurrentConnections() throws Exception {
+        startServer(path);
         List<RawClient> all = new ArrayList<>();
         for (int i = 0; i < 100; i++) {
             RawClient c = client();
@@ -453,7 +454,7 @@
             try {
                 c.send(request("echo", "1") + "\n");
             } catch (IOException e) {
-                // turned away already, and its reply says so
+                // already rejected; the reply has the reason
             }
         }
         int answered = 0;
@@ -463,14 +464,14 @@
             answered += ok ? 1 : 0;
             assertTrue(ok || reply.get("error").equals("too many connections"), reply.toString());
         }
-        assertEquals(MOST_CONNECTIONS, answered);
+        assertEquals(MAX_CONNECTIONS, answered);
     }
 
     /** A client that floods the socket with malformed requests must not starve others. */
     @Test
-    void whileSomebodySendsNonsenseAsFastAsItCanTheOthersAreAnswered() throws Exception {
-        served(path);
-        RawClient usual = client();
+    void servesOthersDuringFloodOfMalformedRequests() throws Exception {
+        startServer(path);
+        RawClient wellBehaved = client();
         AtomicBoolean over = new AtomicBoolean();
         AtomicInteger ended = new AtomicInteger();
         Thread bad = new Thread(() -> {
@@ -486,17 +487,17 @@
         });
         bad.start();
         for (int i = 0; i < 2_000 || ended.get() < 20; i++) {
-            echoed(usual, Integer.toString(i));
+            assertEchoed(wellBehaved, Integer.toString(i));
         }
         over.set(true);
         bad.join();
         assertEquals(0, kept.size());
     }
 
-    // ---- the socket's place ----
+    // ---- socket path and folder ----
 
-    private String refused(Path at) {
-        return assertThrows(InvalidInputException.class, () -> served(at)).getMessage();
+    private String openFailure(Path at) {
+        return assertThrows(InvalidInputException.class, () -> startServer(at)).getMessage();
     }
 
     private static String mode(Path folder) throws IOException {
@@ -508,56 +509,56 @@
     }
 
     @Test
-    void aPathThatIsTooLongIsToldWithItsLength() throws Exception {
-        served(ofLength(ControlCodec.MAX_SOCKET_PATH_BYTES));
-        String why = refused(ofLength(ControlCodec.MAX_SOCKET_PATH_BYTES + 1));
-        assertTrue(why.contains("too long, 107 bytes where 106 are the most"), why);
+    void rejectsSocketPathOverLimit() throws Exception {
+        startServer(ofLength(ControlCodec.MAX_SOCKET_PATH_BYTES));
+        String why = openFailure(ofLength(ControlCodec.MAX_SOCKET_PATH_BYTES + 1));
+        assertTrue(why.contains("too long, 107 bytes, limit 106"), why);
         Path wide = folder.resolve("ä"
                 .repeat((ControlCodec.MAX_SOCKET_PATH_BYTES - folder.toString().length()) / 2 + 1));
-        assertTrue(refused(wide).contains("too long"), "counted in bytes");
+        assertTrue(openFailure(wide).contains("too long"), "the limit counts bytes");
     }
 
     @Test
-    void aFolderThatIsNotThereIsMadeForItsOwnerAlone() throws Exception {
+    void createsMissingFolderWithMode700() throws Exception {
         Path deep = folder.resolve("a").resolve("b");
-        served(deep.resolve("s"));
+        startServer(deep.resolve("s"));
         assertEquals("rwx------", mode(deep));
         assertEquals("rwx------", mode(deep.getParent()));
     }
 
-    /** Whoever can connect to the socket can end the process. */
+    /** Any user who can connect to the socket can end the process. */
     @Test
-    void aFolderThatLetsOthersInIsRefused() throws Exception {
+    void rejectsFolderAccessibleToOthers() throws Exception {
         for (String open : new String[] {"rwxr-xr-x", "rwx--x---", "rwx-----x", "rwx-w----", "rwxrwxrwx"}) {
             Files.setPosixFilePermissions(folder, PosixFilePermissions.fromString(open));
-            String why = refused(path);
-            assertTrue(why.contains("lets others in (" + open + ")") && why.contains("mode 700"), why);
+            String why = openFailure(path);
+            assertTrue(why.contains("accessible to other users (" + open + ")") && why.contains("mode 700"), why);
             assertFalse(Files.exists(path, LinkOption.NOFOLLOW_LINKS));
         }
         Files.setPosixFilePermissions(folder, PosixFilePermissions.fromString("rwx------"));
-        served(path);
+        startServer(path);
     }
 
     @Test
-    void aSocketThatNobodyListensOnIsReplaced() throws Exception {
+    void replacesStaleSocket() throws Exception {
         try (ServerSocketChannel dead = ServerSocketChannel.open(StandardProtocolFamily.UNIX)) {
             dead.bind(UnixDomainSocketAddress.of(path));
         }
         assertTrue(Files.exists(path));
-        served(path);
-        echoed(client(), "1");
+        startServer(path);
+        assertEchoed(client(), "1");
     }
 
     @Test
-    void aSocketThatSomebodyListensOnIsLeftToIt() throws Exception {
-        served(path);
-        assertTrue(refused(path).endsWith("is in use by another process"));
-        echoed(client(), "1");
+    void rejectsSocketInUse() throws Exception {
+        startServer(path);
+        assertTrue(openFailure(path).endsWith("is in use by another process"));
+        assertEchoed(client(), "1");
     }
 
     /** The socket of a stopped process must neither block the start nor be taken for stale. */
     @Test
-    void aSocketWhoseQueueIsFullIsLeftToItsOwner() throws Exception {
+    void keepsSocketWhoseBacklogIsFull() throws Exception {
         try (ServerSocketChannel stopped = ServerSocketChannel.open(StandardProtocolFamily.UNIX)) {
             stopped.bind(UnixDomainSocketAddress.of(path), 1);
             for (boolean room = true; room; ) {
@@ -570,26 +571,26 @@
                     room = false;
                 }
             }
-            assertTrue(refused(path).contains("cannot be had"));
+            assertTrue(openFailure(path).contains("cannot check the existing control socket"));
             assertTrue(Files.exists(path));
         }
     }
 
     /** A plain file refuses connections like a stale socket and must not be removed. */
     @Test
-    void aFileThatIsNoSocketIsLeftAlone() throws Exception {
+    void keepsFileThatIsNotASocket() throws Exception {
         Files.writeString(path, "kept");
-        assertTrue(refused(path).contains("no socket"));
+        assertTrue(openFailure(path).contains("the existing file is no socket"));
         assertEquals("kept", Files.readString(path));
         Path empty = Files.createDirectory(folder.resolve("empty"));
-        refused(empty);
+        openFailure(empty);
         assertTrue(Files.isDirectory(empty));
     }
 
     @Test
-    void closedItLeavesNoSocketBehind() throws Exception {
-        ControlServer server = served(path);
-        assertNull(loop.submit(server::close).get(), "also from its loop, where it must not wait");
+    void removesSocketOnClose() throws Exception {
+        ControlServer server = startServer(path);
+        assertNull(loop.submit(server::close).get(), "must not block on the event loop either");
         assertFalse(Files.exists(path));
     }
 }
--- a/proxy/src/test/java/cacheproxy/control/RawClient.java
+++ b/proxy/src/test/java/cacheproxy/control/RawClient.java
@@ -17,25 +17,25 @@
 import java.util.Map;
 import java.util.concurrent.TimeUnit;
 
-/** A client of a control channel that sends whatever a test wants, and reads when the test wants. */
+/** A control channel client that sends arbitrary text and reads replies only when the test calls for them. */
 public final class RawClient implements Closeable {
-    private static final long WAIT_NS = 20_000_000_000L;
+    private static final long TIMEOUT_NS = 20_000_000_000L;
 
     private final SocketChannel channel;
     private final Selector selector;
     private final SelectionKey key;
     private final ByteBuffer in = ByteBuffer.allocate(1 << 16).flip();
 
-    /** Also where the queue of connections is full for a moment. */
+    /** Connects; retries while the server's backlog is full. */
     public RawClient(Path path) throws IOException {
-        channel = connected(path);
+        channel = connectWithRetries(path);
         selector = Selector.open();
         key = channel.register(selector, SelectionKey.OP_READ);
     }
 
-    private static SocketChannel connected(Path path) throws IOException {
-        for (long end = System.nanoTime() + WAIT_NS; ; Thread.yield()) {
-            SocketChannel channel = SocketChannel.open(StandardProtocolFamily.UNIX); // a failure closes it
+    private static SocketChannel connectWithRetries(Path path) throws IOException {
+        for (long end = System.nanoTime() + TIMEOUT_NS; ; Thread.yield()) {
+            SocketChannel channel = SocketChannel.open(StandardProtocolFamily.UNIX); // closed below if connecting fails
             channel.configureBlocking(false);
             try {
                 channel.connect(UnixDomainSocketAddress.of(path));
@@ -49,22 +49,22 @@
         }
     }
 
-    /** Sends all of it, as fast as the other side takes it. */
+    /** Sends all of the text, blocking while the other side doesn't read. */
     public void send(String text) throws IOException {
         ByteBuffer out = StandardCharsets.UTF_8.encode(text);
-        for (long end = System.nanoTime() + WAIT_NS; out.hasRemaining(); ) {
+        for (long end = System.nanoTime() + TIMEOUT_NS; out.hasRemaining(); ) {
             if (channel.write(out) == 0) {
                 await(SelectionKey.OP_WRITE, end);
             }
         }
     }
 
-    /** Sends as much of it as is taken at once; what is left stays in the buffer. */
+    /** Sends as much as possible without blocking; the rest stays in the buffer. */
     public int offer(ByteBuffer out) throws IOException {
         return channel.write(out);
     }
 
-    /** Will send no more, and goes on reading. */
+    /** Shuts down the output; replies can still be read. */
     public void endSending() throws IOException {
         channel.shutdownOutput();
     }
@@ -72,7 +72,7 @@
     /** The next line without its end; null at the end of the stream. */
     public String line() throws IOException {
         ByteArrayOutputStream line = new ByteArrayOutputStream();
-        for (long end = System.nanoTime() + WAIT_NS; ; ) {
+        for (long end = System.nanoTime() + TIMEOUT_NS; ; ) {
             while (in.hasRemaining()) {
                 byte b = in.get();
                 if (b == '\n') {
@@ -84,7 +84,7 @@
             int read = channel.read(in);
             in.flip();
             if (read < 0) {
-                assertEquals("", line.toString(StandardCharsets.UTF_8), "the end inside a line");
+                assertEquals("", line.toString(StandardCharsets.UTF_8), "end of stream inside a line");
                 return null;
             }
             if (read == 0) {
@@ -106,19 +106,20 @@
         return reply();
     }
 
-    /** Waits for the end of what the other side sends; fails on anything before it. */
+    /** Waits for the end of the stream; fails if anything is received before it. */
     public void expectEnd() throws IOException {
         try {
             assertEquals(null, line());
         } catch (java.net.SocketException e) {
-            assertEquals("Connection reset", e.getMessage()); // it left something unread
+            assertEquals("Connection reset", e.getMessage()); // the other side closed with unread input
         }
     }
 
     private void await(int ops, long endNs) throws IOException {
         long leftMs = TimeUnit.NANOSECONDS.toMillis(endNs - System.nanoTime());
         if (leftMs <= 0) {
-            throw new AssertionError(ops == SelectionKey.OP_READ ? "nothing came" : "nothing is taken");
+            throw new AssertionError(
+                    ops == SelectionKey.OP_READ ? "nothing was received in time" : "nothing could be sent in time");
         }
         key.interestOps(ops);
         selector.select(leftMs);
--- a/proxy/src/test/java/cacheproxy/control/TlsTest.java
+++ b/proxy/src/test/java/cacheproxy/control/TlsTest.java
@@ -35,32 +35,32 @@
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
 
-/** A control channel behind mutual TLS on a real socket: who is let in, who is not, and what it costs. */
+/** Tests the control channel with mutual TLS on real sockets: accepted and rejected clients, and resource limits. */
 @Timeout(60)
 class TlsTest {
-    private static final int MOST_CONNECTIONS = 32;
-    private static final int HANDSHAKE_MS = 1_500;
-    private static final int LONG_MS = 30_000;
-    private static final int CALL_MS = 10_000;
-    private static final String WORD = "0123456789abcdef-token";
+    private static final int MAX_CONNECTIONS = 32;
+    private static final int HANDSHAKE_TIMEOUT_MS = 1_500;
+    private static final int LONG_TIMEOUT_MS = 30_000;
+    private static final int CALL_TIMEOUT_MS = 10_000;
+    private static final String TOKEN = "0123456789abcdef-token";
 
     @TempDir
     static Path shared;
 
-    private static Certificates made;
+    private static Certificates certificates;
 
     @TempDir
     Path folder;
 
-    private final AtomicInteger asked = new AtomicInteger();
-    private final BlockingQueue<ControlServer.Reply> kept = new LinkedBlockingQueue<>();
+    private final AtomicInteger handledRequests = new AtomicInteger();
+    private final BlockingQueue<ControlServer.Reply> keptReplies = new LinkedBlockingQueue<>();
     private final List<AutoCloseable> opened = new ArrayList<>();
     private final EventLoop loop = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory()).next();
-    private InetSocketAddress at;
+    private InetSocketAddress serverAddress;
 
     @BeforeAll
-    static void certificates() throws Exception {
-        made = new Certificates(shared);
+    static void createCertificates() throws Exception {
+        certificates = new Certificates(shared);
     }
 
     @AfterEach
@@ -73,39 +73,39 @@
     }
 
     private void answer(String op, Map<String, Object> request, ControlServer.Reply reply) {
-        asked.incrementAndGet();
+        handledRequests.incrementAndGet();
         if (op.equals("keep")) {
-            kept.add(reply);
+            keptReplies.add(reply);
         } else {
             reply.end(Map.of("text", String.valueOf(request.get("text"))));
         }
     }
 
-    private void served(String agent, boolean token, int handshakeMs, int silentMs, String... clients)
+    private void startServer(String agent, boolean token, int handshakeTimeoutMs, int idleTimeoutMs, String... clients)
             throws Exception {
-        made.agent(folder, agent, clients);
-        Tls.NamedFile word =
-                token ? new Tls.NamedFile("token", Certificates.file(folder.resolve("word"), WORD + "\n")) : null;
-        ControlServer.ConnectionGuard gate = Tls.serverGuard(
+        certificates.agent(folder, agent, clients);
+        Tls.NamedFile tokenFile =
+                token ? new Tls.NamedFile("token", Certificates.file(folder.resolve("word"), TOKEN + "\n")) : null;
+        ControlServer.ConnectionGuard guard = Tls.serverGuard(
                 new Tls.Credentials(
                         new Tls.NamedFile("certificate", folder.resolve("agent.pem")),
                         new Tls.NamedFile("key", folder.resolve("agent.key")),
                         new Tls.NamedFile("clients", folder.resolve("clients.pem")),
-                        word),
-                handshakeMs);
+                        tokenFile),
+                handshakeTimeoutMs);
         ControlServer server = ControlServer.open(
-                loop, new InetSocketAddress(InetAddress.getLoopbackAddress(), 0), this::answer, gate, silentMs);
+                loop, new InetSocketAddress(InetAddress.getLoopbackAddress(), 0), this::answer, guard, idleTimeoutMs);
         opened.add(server);
-        at = (InetSocketAddress) server.address();
+        serverAddress = (InetSocketAddress) server.address();
     }
 
-    private void served() throws Exception {
-        served("agent", false, HANDSHAKE_MS, LONG_MS, "ca");
+    private void startServer() throws Exception {
+        startServer("agent", false, HANDSHAKE_TIMEOUT_MS, LONG_TIMEOUT_MS, "ca");
     }
 
-    private TlsEndpoint place(String name, String trusted, String token) throws Exception {
-        Path papers = made.asking(folder.resolve(name + trusted + token), name, trusted, token);
-        return new TlsEndpoint("127.0.0.1:" + at.getPort(), papers);
+    private TlsEndpoint endpoint(String name, String trusted, String token) throws Exception {
+        Path credentialsFolder = certificates.asking(folder.resolve(name + trusted + token), name, trusted, token);
+        return new TlsEndpoint("127.0.0.1:" + serverAddress.getPort(), credentialsFolder);
     }
 
     private static Map<String, Object> echo(String text) {
@@ -114,22 +114,26 @@
         return request;
     }
 
-    private void goodIsAnswered() throws Exception {
-        int before = asked.get();
+    private void assertValidClientServed() throws Exception {
+        int before = handledRequests.get();
         assertEquals(
-                "good", place("client", "ca", WORD).call(echo("good"), CALL_MS).get("text"));
-        assertEquals(before + 1, asked.get());
+                "good",
+                endpoint("client", "ca", TOKEN)
+                        .call(echo("good"), CALL_TIMEOUT_MS)
+                        .get("text"));
+        assertEquals(before + 1, handledRequests.get());
     }
 
-    private Socket plain() throws IOException {
-        Socket s = new Socket(at.getAddress(), at.getPort());
+    private Socket plainSocket() throws IOException {
+        Socket s = new Socket(serverAddress.getAddress(), serverAddress.getPort());
         s.setSoTimeout(20_000);
         opened.add(s);
         return s;
     }
 
-    private SSLSocket raw(SSLContext context, String version) throws Exception {
-        SSLSocket s = (SSLSocket) context.getSocketFactory().createSocket(plain(), "127.0.0.1", at.getPort(), true);
+    private SSLSocket tlsSocket(SSLContext context, String version) throws Exception {
+        SSLSocket s = (SSLSocket)
+                context.getSocketFactory().createSocket(plainSocket(), "127.0.0.1", serverAddress.getPort(), true);
         s.setEnabledProtocols(new String[] {version});
         return s;
     }
@@ -138,24 +142,24 @@
         return new BufferedReader(new InputStreamReader(s.getInputStream(), StandardCharsets.UTF_8));
     }
 
-    private static void say(Socket s, Map<String, Object> request) throws IOException {
+    private static void sendRequest(Socket s, Map<String, Object> request) throws IOException {
         s.getOutputStream().write((ControlCodec.encode(request) + "\n").getBytes(StandardCharsets.UTF_8));
     }
 
-    /** Handshake, request and a look for the reply: why it fails. */
-    private String refused(String name) throws Exception {
-        int before = asked.get();
-        SSLSocket s = raw(made.context(name), "TLSv1.3");
+    /** Attempts a handshake and a read; returns why this fails. */
+    private String rejectionReason(String name) throws Exception {
+        int before = handledRequests.get();
+        SSLSocket s = tlsSocket(certificates.context(name), "TLSv1.3");
         IOException why = assertThrows(IOException.class, () -> {
             s.startHandshake();
             s.getInputStream().read();
         });
-        assertEquals(before, asked.get());
+        assertEquals(before, handledRequests.get());
         return String.valueOf(why.getMessage());
     }
 
-    /** Reads whatever comes; how long it took to end. */
-    private static long endsAfterMs(Socket s) throws IOException {
+    /** Reads until the server closes; returns how long that took. */
+    private static long timeUntilCloseMs(Socket s) throws IOException {
         long since = System.nanoTime();
         try {
             while (s.getInputStream().read() >= 0) {
@@ -167,74 +171,75 @@
         return TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - since);
     }
 
-    // ---- who is let in ----
+    // ---- accepted clients ----
 
     @Test
-    void withCertificateAndTokenItAnswersAsOnAUnixSocket() throws Exception {
-        served("agent", true, HANDSHAKE_MS, LONG_MS, "ca");
-        goodIsAnswered();
-        try (ControlClient client = place("client", "ca", WORD).open(CALL_MS)) {
+    void servesClientWithCertificateAndToken() throws Exception {
+        startServer("agent", true, HANDSHAKE_TIMEOUT_MS, LONG_TIMEOUT_MS, "ca");
+        assertValidClientServed();
+        try (ControlClient client = endpoint("client", "ca", TOKEN).open(CALL_TIMEOUT_MS)) {
             String big = "x".repeat(60_000); // several records of TLS
             for (int i = 0; i < 50; i++) {
-                client.send(echo(big + i), CALL_MS);
-                assertEquals(big + i, client.next(CALL_MS).get("text"));
+                client.send(echo(big + i), CALL_TIMEOUT_MS);
+                assertEquals(big + i, client.next(CALL_TIMEOUT_MS).get("text"));
             }
-            client.send(ControlCodec.request("keep"), CALL_MS);
-            ControlServer.Reply reply = kept.poll(10, TimeUnit.SECONDS);
+            client.send(ControlCodec.request("keep"), CALL_TIMEOUT_MS);
+            ControlServer.Reply reply = keptReplies.poll(10, TimeUnit.SECONDS);
             reply.part(Map.of("n", 1));
             reply.end(Map.of("n", 2));
-            assertEquals(1, client.next(CALL_MS).get("n"));
-            assertEquals(2, client.next(CALL_MS).get("n"));
+            assertEquals(1, client.next(CALL_TIMEOUT_MS).get("n"));
+            assertEquals(2, client.next(CALL_TIMEOUT_MS).get("n"));
         }
     }
 
     @Test
-    void aCertificateThatIsItselfListedIsEnough() throws Exception {
-        served("agent", false, HANDSHAKE_MS, LONG_MS, "client");
-        goodIsAnswered();
-        assertTrue(refused("elsewhere").contains("certificate"), "of the same CA, and not listed");
+    void acceptsCertificateThatIsItselfTrusted() throws Exception {
+        startServer("agent", false, HANDSHAKE_TIMEOUT_MS, LONG_TIMEOUT_MS, "client");
+        assertValidClientServed();
+        assertTrue(
+                rejectionReason("elsewhere").contains("certificate"), "signed by the same CA, but not trusted itself");
     }
 
-    // ---- who is not ----
+    // ---- rejected clients ----
 
     @Test
-    void withoutACertificateNobodyIsAnswered() throws Exception {
-        served();
-        String why = refused(null);
+    void rejectsClientWithoutCertificate() throws Exception {
+        startServer();
+        String why = rejectionReason(null);
         assertTrue(why.contains("bad_certificate") || why.contains("certificate_required"), why);
-        goodIsAnswered();
+        assertValidClientServed();
     }
 
     @Test
-    void aCertificateOfAnotherCaIsRefused() throws Exception {
-        served();
-        String why = refused("stranger");
+    void rejectsCertificateOfAnotherCa() throws Exception {
+        startServer();
+        String why = rejectionReason("stranger");
         assertTrue(why.contains("certificate_unknown"), why);
-        goodIsAnswered();
+        assertValidClientServed();
     }
 
     /** The JDK doesn't check the dates of a certificate that is itself a trust anchor. */
     @Test
-    void anExpiredCertificateIsRefusedAlsoWhereItIsListed() throws Exception {
-        served("agent", false, HANDSHAKE_MS, LONG_MS, "ca", "past");
+    void rejectsExpiredCertificateEvenIfTrusted() throws Exception {
+        startServer("agent", false, HANDSHAKE_TIMEOUT_MS, LONG_TIMEOUT_MS, "ca", "past");
         for (String name : new String[] {"expired", "past"}) {
-            String why = refused(name);
+            String why = rejectionReason(name);
             assertTrue(why.contains("certificate"), name + ": " + why);
         }
-        goodIsAnswered();
+        assertValidClientServed();
     }
 
     @Test
-    void aWrongTokenEndsTheConnectionAfterItsOneReply() throws Exception {
-        served("agent", true, HANDSHAKE_MS, LONG_MS, "ca");
-        for (Object token : new Object[] {"none", WORD + "x", WORD.substring(1), "", 7, List.of(WORD)}) {
-            SSLSocket s = raw(made.context("client"), "TLSv1.3");
+    void closesConnectionAfterWrongToken() throws Exception {
+        startServer("agent", true, HANDSHAKE_TIMEOUT_MS, LONG_TIMEOUT_MS, "ca");
+        for (Object token : new Object[] {"none", TOKEN + "x", TOKEN.substring(1), "", 7, List.of(TOKEN)}) {
+            SSLSocket s = tlsSocket(certificates.context("client"), "TLSv1.3");
             Map<String, Object> request = echo("bad");
             if (!token.equals("none")) {
                 request.put("token", token);
             }
             Map<String, Object> second = echo("second");
-            second.put("token", WORD);
+            second.put("token", TOKEN);
             s.getOutputStream()
                     .write((ControlCodec.encode(request) + "\n" + ControlCodec.encode(second) + "\n")
                             .getBytes(StandardCharsets.UTF_8));
@@ -244,240 +249,244 @@
                     ControlCodec.decode(in.readLine()));
             assertEquals(null, in.readLine());
         }
-        assertEquals(0, asked.get());
+        assertEquals(0, handledRequests.get());
         assertEquals(
-                true, place("client", "ca", null).call(echo("bad"), CALL_MS).get("gate"));
-        assertEquals(0, asked.get());
-        goodIsAnswered();
+                true,
+                endpoint("client", "ca", null)
+                        .call(echo("bad"), CALL_TIMEOUT_MS)
+                        .get("gate"));
+        assertEquals(0, handledRequests.get());
+        assertValidClientServed();
     }
 
     @Test
-    void tls12IsRefused() throws Exception {
-        served();
-        SSLSocket s = raw(made.context("client"), "TLSv1.2");
+    void rejectsTls12() throws Exception {
+        startServer();
+        SSLSocket s = tlsSocket(certificates.context("client"), "TLSv1.2");
         String why =
                 assertThrows(SSLHandshakeException.class, s::startHandshake).getMessage();
         assertTrue(why.contains("protocol_version"), why);
-        goodIsAnswered();
+        assertValidClientServed();
     }
 
     @Test
-    void plainBytesEndTheConnection() throws Exception {
-        served();
+    void closesConnectionWithoutTls() throws Exception {
+        startServer();
         for (String bytes :
                 new String[] {ControlCodec.encode(echo("plain")) + "\n", "GET / HTTP/1.1\r\n\r\n", "\0".repeat(9)}) {
-            Socket s = plain();
+            Socket s = plainSocket();
             s.getOutputStream().write(bytes.getBytes(StandardCharsets.UTF_8));
-            long ms = endsAfterMs(s);
-            assertTrue(ms < HANDSHAKE_MS, "at once, not after " + ms + " ms");
+            long ms = timeUntilCloseMs(s);
+            assertTrue(ms < HANDSHAKE_TIMEOUT_MS, "at once, not after " + ms + " ms");
         }
-        assertEquals(0, asked.get());
-        goodIsAnswered();
+        assertEquals(0, handledRequests.get());
+        assertValidClientServed();
     }
 
     /** A failing write must not hide the alert that says why the client is rejected. */
     @Test
-    void whoSendsMuchBeforeItIsRefusedLearnsWhyTheSame() throws Exception {
-        served();
-        TlsEndpoint place = place("stranger", "ca", null);
+    void reportsRejectionToClientThatIsStillWriting() throws Exception {
+        startServer();
+        TlsEndpoint endpoint = endpoint("stranger", "ca", null);
         Map<String, Object> big = echo("x".repeat(4 << 20));
         for (int i = 0; i < 400; i++) {
             Map<String, Object> sent = i % 20 == 0 ? big : echo("small");
-            String why = assertThrows(IOException.class, () -> place.call(sent, CALL_MS))
+            String why = assertThrows(IOException.class, () -> endpoint.call(sent, CALL_TIMEOUT_MS))
                     .getMessage();
             assertTrue(why.startsWith("the handshake is refused: ") && why.contains("certificate_unknown"), why);
         }
-        assertEquals(0, asked.get());
-        goodIsAnswered();
+        assertEquals(0, handledRequests.get());
+        assertValidClientServed();
     }
 
-    // ---- what it costs ----
+    // ---- resource limits ----
 
     @Test
-    void whoSaysNothingOrDripsAHandshakeIsLetGo() throws Exception {
-        served();
-        Socket silent = plain();
-        Socket drips = plain();
-        Thread drip = new Thread(() -> {
+    void closesConnectionWithoutHandshakeInTime() throws Exception {
+        startServer();
+        Socket silent = plainSocket();
+        Socket slowSocket = plainSocket();
+        Thread slowWriter = new Thread(() -> {
             try {
-                drips.getOutputStream().write(new byte[] {22, 3, 1, 0x40, 0, 1, 0, 0x3f, (byte) 0xfc});
+                slowSocket.getOutputStream().write(new byte[] {22, 3, 1, 0x40, 0, 1, 0, 0x3f, (byte) 0xfc});
                 while (true) {
-                    drips.getOutputStream().write(3);
+                    slowSocket.getOutputStream().write(3);
                     Thread.sleep(50);
                 }
             } catch (IOException | InterruptedException e) {
-                // it has been let go
+                // the server has closed the connection
             }
         });
-        drip.start();
-        long ms = endsAfterMs(silent);
-        assertTrue(ms > HANDSHAKE_MS / 2 && ms < HANDSHAKE_MS * 4, "after " + ms + " ms");
-        assertTrue(endsAfterMs(drips) < HANDSHAKE_MS * 4);
-        drip.join();
-        goodIsAnswered();
+        slowWriter.start();
+        long ms = timeUntilCloseMs(silent);
+        assertTrue(ms > HANDSHAKE_TIMEOUT_MS / 2 && ms < HANDSHAKE_TIMEOUT_MS * 4, "after " + ms + " ms");
+        assertTrue(timeUntilCloseMs(slowSocket) < HANDSHAKE_TIMEOUT_MS * 4);
+        slowWriter.join();
+        assertValidClientServed();
     }
 
     @Test
-    void whoIsLetInAndSaysNothingIsLetGoToo() throws Exception {
-        served("agent", false, HANDSHAKE_MS, 400, "ca");
-        SSLSocket s = raw(made.context("client"), "TLSv1.3");
+    void closesIdleConnectionAfterHandshake() throws Exception {
+        startServer("agent", false, HANDSHAKE_TIMEOUT_MS, 400, "ca");
+        SSLSocket s = tlsSocket(certificates.context("client"), "TLSv1.3");
         s.startHandshake();
-        assertTrue(endsAfterMs(s) < 10_000);
-        goodIsAnswered();
+        assertTrue(timeUntilCloseMs(s) < 10_000);
+        assertValidClientServed();
     }
 
     @Test
-    void overTheBoundNobodyShakesHandsAndAnOpenOneIsAnswered() throws Exception {
-        served("agent", false, LONG_MS, LONG_MS, "ca");
-        try (ControlClient open = place("client", "ca", null).open(CALL_MS)) {
-            open.send(echo("first"), CALL_MS);
-            assertEquals("first", open.next(CALL_MS).get("text"));
+    void closesConnectionsOverLimitWithoutHandshake() throws Exception {
+        startServer("agent", false, LONG_TIMEOUT_MS, LONG_TIMEOUT_MS, "ca");
+        try (ControlClient open = endpoint("client", "ca", null).open(CALL_TIMEOUT_MS)) {
+            open.send(echo("first"), CALL_TIMEOUT_MS);
+            assertEquals("first", open.next(CALL_TIMEOUT_MS).get("text"));
             List<Socket> silent = new ArrayList<>();
-            for (int i = 1; i < MOST_CONNECTIONS; i++) {
-                silent.add(plain());
+            for (int i = 1; i < MAX_CONNECTIONS; i++) {
+                silent.add(plainSocket());
             }
             for (int i = 0; i < 200; i++) {
-                Socket over = plain();
-                over.setSoTimeout(5_000); // one over the bound is not held
-                assertEquals(-1, over.getInputStream().read(), "nor is a word of TLS said to it");
+                Socket over = plainSocket();
+                over.setSoTimeout(5_000); // a connection over the limit is closed at once
+                assertEquals(-1, over.getInputStream().read(), "closed without any TLS record");
             }
-            TlsEndpoint more = place("client", "ca", null);
-            assertThrows(IOException.class, () -> more.call(echo("more"), CALL_MS));
-            open.send(echo("second"), CALL_MS);
-            assertEquals("second", open.next(CALL_MS).get("text"));
-            assertEquals(2, asked.get());
+            TlsEndpoint more = endpoint("client", "ca", null);
+            assertThrows(IOException.class, () -> more.call(echo("more"), CALL_TIMEOUT_MS));
+            open.send(echo("second"), CALL_TIMEOUT_MS);
+            assertEquals("second", open.next(CALL_TIMEOUT_MS).get("text"));
+            assertEquals(2, handledRequests.get());
             for (Socket s : silent) {
                 s.close();
             }
         }
-        for (int tries = 0; ; tries++) { // the places are free once the server has seen the ends
+        for (int tries = 0; ; tries++) { // the server frees the slots once it has seen the closes
             try {
-                goodIsAnswered();
+                assertValidClientServed();
                 return;
             } catch (IOException e) {
-                assertTrue(tries < 100, () -> "no place again: " + e);
+                assertTrue(tries < 100, () -> "no free connection slot: " + e);
                 Thread.sleep(50);
             }
         }
     }
 
     @Test
-    void aFloodOfBadHandshakesLeavesAnOpenOneAnswered() throws Exception {
-        served();
-        try (ControlClient open = place("client", "ca", null).open(CALL_MS)) {
-            SSLContext bad = made.context("stranger");
+    void servesOpenConnectionDuringFloodOfRejectedHandshakes() throws Exception {
+        startServer();
+        try (ControlClient open = endpoint("client", "ca", null).open(CALL_TIMEOUT_MS)) {
+            SSLContext bad = certificates.context("stranger");
             for (int i = 0; i < 100; i++) {
-                SSLSocket s = raw(bad, "TLSv1.3");
+                SSLSocket s = tlsSocket(bad, "TLSv1.3");
                 assertThrows(IOException.class, () -> {
                     s.startHandshake();
                     s.getInputStream().read();
-                    throw new SocketException("it has ended"); // over the bound
+                    throw new SocketException("connection closed"); // over the connection limit
                 });
                 s.close();
-                open.send(echo("n" + i), CALL_MS);
-                assertEquals("n" + i, open.next(CALL_MS).get("text"));
+                open.send(echo("n" + i), CALL_TIMEOUT_MS);
+                assertEquals("n" + i, open.next(CALL_TIMEOUT_MS).get("text"));
             }
         }
     }
 
     /** Replies that a client doesn't read must not fill the agent's memory, nor their ciphertext. */
     @Test
-    void whoTakesNothingIsEnded() throws Exception {
-        served();
-        SSLSocket s = raw(made.context("client"), "TLSv1.3");
+    void closesClientThatReadsNoReplies() throws Exception {
+        startServer();
+        SSLSocket s = tlsSocket(certificates.context("client"), "TLSv1.3");
         s.startHandshake();
-        say(s, ControlCodec.request("keep"));
-        ControlServer.Reply reply = kept.poll(10, TimeUnit.SECONDS);
+        sendRequest(s, ControlCodec.request("keep"));
+        ControlServer.Reply reply = keptReplies.poll(10, TimeUnit.SECONDS);
         for (int i = 0; i < 600; i++) {
             reply.part(Map.of("text", "x".repeat(1 << 16)));
         }
         for (int tries = 0; reply.isOpen(); tries++) {
-            assertTrue(tries < 200, "38 MB for one who takes nothing");
+            assertTrue(tries < 200, "38 MB buffered for a client that reads nothing");
             Thread.sleep(50);
         }
-        goodIsAnswered();
+        assertValidClientServed();
     }
 
     /** A session ticket would be accepted after the certificate has expired. */
     @Test
-    void eachConnectionShowsItsCertificate() throws Exception {
-        served();
-        SSLContext context = made.context("client");
-        int before = made.shown();
+    void requestsCertificateOnEachConnection() throws Exception {
+        startServer();
+        SSLContext context = certificates.context("client");
+        int before = certificates.certificateRequests();
         for (int i = 1; i <= 3; i++) {
-            SSLSocket s = raw(context, "TLSv1.3");
-            say(s, echo("a"));
+            SSLSocket s = tlsSocket(context, "TLSv1.3");
+            sendRequest(s, echo("a"));
             assertEquals("a", ControlCodec.decode(lines(s).readLine()).get("text"));
-            assertEquals(before + i, made.shown());
+            assertEquals(before + i, certificates.certificateRequests());
             s.close();
         }
     }
 
-    // ---- the side that asks ----
+    // ---- client ----
 
-    private static String fails(TlsEndpoint place, long withinMs) {
-        return assertThrows(IOException.class, () -> place.call(echo("no"), withinMs))
+    private static String callFailure(TlsEndpoint endpoint, long withinMs) {
+        return assertThrows(IOException.class, () -> endpoint.call(echo("no"), withinMs))
                 .getMessage();
     }
 
     @Test
-    void itTellsWhyAnAgentLetsItNotIn() throws Exception {
-        served();
-        String why = fails(place("stranger", "ca", null), CALL_MS);
+    void clientReportsWhyAgentRejectsIt() throws Exception {
+        startServer();
+        String why = callFailure(endpoint("stranger", "ca", null), CALL_TIMEOUT_MS);
         assertTrue(why.startsWith("the handshake is refused: ") && why.contains("certificate_unknown"), why);
-        assertEquals(0, asked.get());
+        assertEquals(0, handledRequests.get());
     }
 
     @Test
-    void itTalksToNoAgentOfAnotherCaOrAddressOrTime() throws Exception {
-        served();
-        String why = fails(place("client", "other", null), CALL_MS);
+    void clientRejectsAgentOfAnotherCaOrAddressOrExpired() throws Exception {
+        startServer();
+        String why = callFailure(endpoint("client", "other", null), CALL_TIMEOUT_MS);
         assertTrue(why.startsWith("the handshake is refused: ") && why.contains("PKIX"), why);
-        served("elsewhere", false, HANDSHAKE_MS, LONG_MS, "ca");
-        why = fails(place("client", "ca", null), CALL_MS);
+        startServer("elsewhere", false, HANDSHAKE_TIMEOUT_MS, LONG_TIMEOUT_MS, "ca");
+        why = callFailure(endpoint("client", "ca", null), CALL_TIMEOUT_MS);
         assertTrue(why.contains("127.0.0.1"), why);
-        served("expired", false, HANDSHAKE_MS, LONG_MS, "ca");
-        why = fails(place("client", "ca", null), CALL_MS);
+        startServer("expired", false, HANDSHAKE_TIMEOUT_MS, LONG_TIMEOUT_MS, "ca");
+        why = callFailure(endpoint("client", "ca", null), CALL_TIMEOUT_MS);
         assertTrue(why.contains("handshake is refused"), why);
-        assertEquals(0, asked.get());
+        assertEquals(0, handledRequests.get());
     }
 
     @Test
-    void itsTimeIsOverTheHandshakeTheRequestAndTheReply() throws Exception {
+    void clientTimeoutCoversHandshakeRequestAndReply() throws Exception {
         try (ServerSocket silent = new ServerSocket(0, 5, InetAddress.getLoopbackAddress())) {
-            at = (InetSocketAddress) silent.getLocalSocketAddress();
+            serverAddress = (InetSocketAddress) silent.getLocalSocketAddress();
             long since = System.nanoTime();
-            assertEquals("no handshake in time", fails(place("client", "ca", null), 500));
+            assertEquals("no handshake in time", callFailure(endpoint("client", "ca", null), 500));
             assertTrue(System.nanoTime() - since < 5_000_000_000L);
         }
-        served();
-        TlsEndpoint place = place("client", "ca", null);
+        startServer();
+        TlsEndpoint endpoint = endpoint("client", "ca", null);
         long since = System.nanoTime();
-        try (ControlClient client = place.open(CALL_MS)) {
-            client.send(ControlCodec.request("keep"), CALL_MS);
+        try (ControlClient client = endpoint.open(CALL_TIMEOUT_MS)) {
+            client.send(ControlCodec.request("keep"), CALL_TIMEOUT_MS);
             assertEquals(
                     "no reply in time",
                     assertThrows(IOException.class, () -> client.next(500)).getMessage());
         }
-        try (ControlClient client = place.open(CALL_MS)) {
-            client.send(ControlCodec.request("keep"), CALL_MS); // and reads no more until it is answered
+        try (ControlClient client = endpoint.open(CALL_TIMEOUT_MS)) {
+            client.send(ControlCodec.request("keep"), CALL_TIMEOUT_MS); // the server reads no more until it has replied
             Map<String, Object> big = echo("x".repeat(30 << 20));
             assertEquals(
-                    "it takes no request",
+                    "request not sent in time",
                     assertThrows(IOException.class, () -> client.send(big, 700)).getMessage());
         }
         assertTrue(System.nanoTime() - since < 15_000_000_000L);
     }
 
     @Test
-    void itTellsWhichOfItsFilesIsNoGood() throws Exception {
-        served();
-        Path papers = made.asking(folder.resolve("p"), "client", "ca", "short");
-        TlsEndpoint place = new TlsEndpoint("127.0.0.1:" + at.getPort(), papers);
-        assertTrue(fails(place, CALL_MS).startsWith("token: "));
-        Files.delete(papers.resolve("token"));
-        Files.delete(papers.resolve("client.key"));
-        assertTrue(fails(place, CALL_MS).startsWith("client.key: "));
-        assertThrows(cacheproxy.common.InvalidInputException.class, () -> new TlsEndpoint("localhost:1", papers));
+    void clientNamesInvalidCredentialFile() throws Exception {
+        startServer();
+        Path credentialsFolder = certificates.asking(folder.resolve("p"), "client", "ca", "short");
+        TlsEndpoint endpoint = new TlsEndpoint("127.0.0.1:" + serverAddress.getPort(), credentialsFolder);
+        assertTrue(callFailure(endpoint, CALL_TIMEOUT_MS).startsWith("token: "));
+        Files.delete(credentialsFolder.resolve("token"));
+        Files.delete(credentialsFolder.resolve("client.key"));
+        assertTrue(callFailure(endpoint, CALL_TIMEOUT_MS).startsWith("client.key: "));
+        assertThrows(
+                cacheproxy.common.InvalidInputException.class, () -> new TlsEndpoint("localhost:1", credentialsFolder));
     }
 }
--- a/proxy/src/test/java/cacheproxy/replication/MergeTest.java
+++ b/proxy/src/test/java/cacheproxy/replication/MergeTest.java
@@ -12,7 +12,10 @@
 import java.util.function.Function;
 import org.junit.jupiter.api.Test;
 
-/** The laws of each merge: without them copies that received the same values could differ for good. */
+/**
+ * Checks that merges are commutative, associative and idempotent; otherwise replicas that received the same values
+ * could differ permanently.
+ */
 class MergeTest {
     private static ReplicatedValue status(SplittableRandom r) {
         return new EndpointStatus(r.nextInt(3), EndpointStatus.State.values()[r.nextInt(3)], unknownFields(r));
@@ -28,8 +31,8 @@
     }
 
     /** The same commands, as received from a member that has lost the unknown fields of some. */
-    private static ReplicatedValue withLostFields(ReplicatedValue orders, SplittableRandom r) {
-        OperatorCommands o = (OperatorCommands) orders;
+    private static ReplicatedValue withLostFields(ReplicatedValue commands, SplittableRandom r) {
+        OperatorCommands o = (OperatorCommands) commands;
         return OperatorCommands.of(
                 o.versionVector(),
                 o.active().stream()
@@ -46,33 +49,35 @@
     }
 
     /** Histories of four members that submit commands and exchange them now and then. */
-    private static List<ReplicatedValue> orders(SplittableRandom r) {
-        OperatorCommands[] at = new OperatorCommands[4];
-        long[] given = new long[4];
+    private static List<ReplicatedValue> simulateCommandHistories(SplittableRandom r) {
+        OperatorCommands[] commandsByMember = new OperatorCommands[4];
+        long[] lastSequences = new long[4];
         List<ReplicatedValue> seen = new ArrayList<>();
         for (int step = 0; step < 12; step++) {
             int m = r.nextInt(4);
             int other = r.nextInt(4);
-            if (r.nextBoolean() || at[other] == null) {
-                at[m] = OperatorCommands.superseding(
-                        at[m],
+            if (r.nextBoolean() || commandsByMember[other] == null) {
+                commandsByMember[m] = OperatorCommands.superseding(
+                        commandsByMember[m],
                         new OperatorCommand(
                                 m + 1,
-                                ++given[m],
+                                ++lastSequences[m],
                                 r.nextInt(5),
                                 r.nextBoolean() ? "drain" : OperatorCommand.CLEAR,
                                 "w",
                                 "",
                                 unknownFields(r)));
             } else {
-                at[m] = at[m] == null ? at[other] : (OperatorCommands) at[m].merge(at[other]);
+                commandsByMember[m] = commandsByMember[m] == null
+                        ? commandsByMember[other]
+                        : (OperatorCommands) commandsByMember[m].merge(commandsByMember[other]);
             }
-            seen.add(at[m]);
+            seen.add(commandsByMember[m]);
         }
         return seen;
     }
 
-    private static void laws(ReplicatedValue a, ReplicatedValue b, ReplicatedValue c, long seed) {
+    private static void assertMergeLaws(ReplicatedValue a, ReplicatedValue b, ReplicatedValue c, long seed) {
         assertEquals(a.merge(b), b.merge(a), () -> "seed " + seed);
         assertEquals(a.merge(b).merge(c), a.merge(b.merge(c)), () -> "seed " + seed);
         assertEquals(a, a.merge(a), () -> "seed " + seed);
@@ -85,11 +90,11 @@
             SplittableRandom r = new SplittableRandom(seed);
             for (Function<SplittableRandom, ReplicatedValue> kind :
                     List.<Function<SplittableRandom, ReplicatedValue>>of(MergeTest::status, MergeTest::metric)) {
-                laws(kind.apply(r), kind.apply(r), kind.apply(r), seed);
+                assertMergeLaws(kind.apply(r), kind.apply(r), kind.apply(r), seed);
             }
-            List<ReplicatedValue> seen = orders(r);
-            laws(seen.get(r.nextInt(12)), seen.get(r.nextInt(12)), seen.get(r.nextInt(12)), seed);
-            laws(
+            List<ReplicatedValue> seen = simulateCommandHistories(r);
+            assertMergeLaws(seen.get(r.nextInt(12)), seen.get(r.nextInt(12)), seen.get(r.nextInt(12)), seed);
+            assertMergeLaws(
                     withLostFields(seen.get(r.nextInt(12)), r),
                     withLostFields(seen.get(r.nextInt(12)), r),
                     withLostFields(seen.get(r.nextInt(12)), r),
@@ -99,13 +104,13 @@
 
     /** Otherwise a copy that has lost its unknown fields would replace the command itself, or the fields. */
     @Test
-    void unknownFieldsAreNotLostToACopyWithoutThem() {
+    void keepsUnknownFieldsWhenMergedWithCopyWithoutThem() {
         OperatorCommands complete =
                 OperatorCommands.superseding(null, new OperatorCommand(1, 1, 20, "drain", "a", "", "more"));
         OperatorCommands reduced = OperatorCommands.superseding(null, new OperatorCommand(1, 1, 20, "drain", "a", ""));
         assertEquals(complete, reduced.merge(complete));
         assertEquals(complete, complete.merge(reduced));
-        assertTrue(complete.digest() != reduced.digest(), "copies that differ are compared");
+        assertTrue(complete.digest() != reduced.digest(), "digests of copies that differ must differ");
         EndpointStatus status = new EndpointStatus(5, EndpointStatus.State.GONE, "more");
         assertEquals(status, new EndpointStatus(5, EndpointStatus.State.GONE).merge(status));
         EndpointStatus later = new EndpointStatus(6, EndpointStatus.State.SERVING);
@@ -118,7 +123,7 @@
     }
 
     @Test
-    void aLaterStartWinsAndWithinOneStartTheSaferState() {
+    void prefersLaterStartAndThenSaferState() {
         EndpointStatus gone = new EndpointStatus(5, EndpointStatus.State.GONE);
         assertEquals(gone, new EndpointStatus(5, EndpointStatus.State.SERVING).merge(gone));
         assertEquals(gone, gone.merge(new EndpointStatus(5, EndpointStatus.State.DRAINING)));
@@ -128,7 +133,7 @@
 
     /** Otherwise nobody could revoke commands of a member whose clock is an hour ahead, for an hour. */
     @Test
-    void aCommandSupersedesWhatItsMemberKnewWhateverTheClocksSay() {
+    void commandSupersedesKnownCommandsRegardlessOfTimestamps() {
         OperatorCommands ahead =
                 OperatorCommands.superseding(null, new OperatorCommand(1, 1, 3_600_000, "close", "a", ""));
         OperatorCommands after =
@@ -138,24 +143,25 @@
     }
 
     @Test
-    void concurrentCommandsStayActiveAndConflict() {
+    void keepsConcurrentCommandsAndReportsConflict() {
         OperatorCommands drain = OperatorCommands.superseding(null, new OperatorCommand(1, 1, 20, "drain", "a", ""));
         OperatorCommands clear =
                 OperatorCommands.superseding(null, new OperatorCommand(2, 1, 30, OperatorCommand.CLEAR, "b", ""));
         OperatorCommands both = (OperatorCommands) drain.merge(clear);
         assertTrue(both.conflicting());
-        assertEquals("drain", both.effective().action(), "a command goes before one that clears");
+        assertEquals("drain", both.effective().action(), "any other command takes precedence over one that clears");
         OperatorCommands settled =
                 OperatorCommands.superseding(both, new OperatorCommand(3, 1, 1, OperatorCommand.CLEAR, "c", ""));
         assertEquals(settled, both.merge(settled));
     }
 
     @Test
-    void invalidFieldsAreNamed() {
-        OperatorCommand order = new OperatorCommand(1, 2, 0, "drain", "a", "");
-        assertTrue(assertThrows(InvalidFieldException.class, () -> OperatorCommands.of(Map.of(1L, 1L), List.of(order)))
+    void namesInvalidFields() {
+        OperatorCommand command = new OperatorCommand(1, 2, 0, "drain", "a", "");
+        assertTrue(assertThrows(
+                        InvalidFieldException.class, () -> OperatorCommands.of(Map.of(1L, 1L), List.of(command)))
                 .getMessage()
-                .contains("life 1"));
+                .contains("incarnation 1"));
         assertThrows(InvalidFieldException.class, () -> new OperatorCommand(1, 1, 0, "x".repeat(129), "a", ""));
         assertThrows(InvalidFieldException.class, () -> new MemberMetric(1, 1, Double.NaN));
         assertThrows(InvalidFieldException.class, () -> EntryKind.ENDPOINT.key("a/b"));
