--- a/fleet/src/main/java/cacheproxy/replication/node/MemberService.java
+++ b/fleet/src/main/java/cacheproxy/replication/node/MemberService.java
@@ -21,7 +21,7 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * The process of one member: its replica and connections on one event loop, its command log on a thread of its own, and
+ * The process of one member: its replica and connections on one event loop, its command log on a separate thread, and
  * its control socket in its folder.
  */
 public final class MemberService implements ReplicaActions {
--- a/proxy/src/main/java/cacheproxy/control/ProcessIdentity.java
+++ b/proxy/src/main/java/cacheproxy/control/ProcessIdentity.java
@@ -37,7 +37,7 @@
         return identity;
     }
 
-    /** Answers {@code hello} with the identity, and with a proof for the request's nonce if there is a secret. */
+    /** Replies to {@code hello} with the identity, and with a proof for the request's nonce if there is a secret. */
     public static void answerHello(
             Map<String, Object> identity, String secret, Map<String, Object> request, ControlServer.Reply reply) {
         String nonce = request.get("nonce") instanceof String s ? s : "";
--- a/proxy/src/main/java/cacheproxy/control/Tls.java
+++ b/proxy/src/main/java/cacheproxy/control/Tls.java
@@ -52,7 +52,7 @@
     private Tls() {}
 
     /**
-     * The files of one side.
+     * The credential files of one side of the connection.
      *
      * @param trusted the certificates that the certificate of the other side must be among, or be signed by
      * @param token null if there is none
--- a/proxy/src/main/java/cacheproxy/replication/GossipRounds.java
+++ b/proxy/src/main/java/cacheproxy/replication/GossipRounds.java
@@ -15,7 +15,7 @@
     private static final int METRIC_SENDS = 3;
     /** Rounds on top of log2(members) in which an urgent entry is sent. */
     private static final int EXTRA_URGENT_SENDS = 2;
-    /** Divisors of the byte budget: each part may use one such share. */
+    /** Divisors of the byte budget, for the share that each kind of message may use. */
     private static final int URGENT_BUDGET_DIVISOR = 2;
 
     private static final int METRIC_BUDGET_DIVISOR = 4;
--- a/proxy/src/main/java/cacheproxy/replication/MemberMetric.java
+++ b/proxy/src/main/java/cacheproxy/replication/MemberMetric.java
@@ -6,8 +6,8 @@
  * incarnation of the member, then the higher sequence number, then the larger amount. Equal sequence numbers with
  * different amounts occur where a member was restored from an old disk.
  *
- * @param incarnation the reporting member's incarnation; grows with each start
- * @param sequence grows within an incarnation
+ * @param incarnation the reporting member's incarnation; larger for each later start
+ * @param sequence increases within an incarnation
  * @param unknownFields see {@link ReplicatedValue#requireUnknownFields}
  */
 public record MemberMetric(long incarnation, long sequence, double amount, String unknownFields)
--- a/proxy/src/main/java/cacheproxy/replication/MessageSender.java
+++ b/proxy/src/main/java/cacheproxy/replication/MessageSender.java
@@ -43,12 +43,12 @@
         this.actions = actions;
     }
 
-    /** Whether later messages say that this member is catching up. */
+    /** Sets whether later messages state that this member is catching up. */
     void setCatchingUp(boolean catchingUp) {
         this.catchingUp = catchingUp;
     }
 
-    /** Adds what accrues in one round. */
+    /** Adds the budget of one round. */
     void refillBudget() {
         double limit = settings.gossipBytesPerS() * BURST_S;
         budgetBytes = Math.max(-limit, budgetBytes);
--- a/proxy/src/main/java/cacheproxy/replication/OperatorCommands.java
+++ b/proxy/src/main/java/cacheproxy/replication/OperatorCommands.java
@@ -136,7 +136,7 @@
         return last;
     }
 
-    /** Whether concurrent commands ask for different actions. */
+    /** Whether concurrent commands request different actions. */
     public boolean conflicting() {
         return active.stream().map(OperatorCommand::action).distinct().count() > 1;
     }
--- a/proxy/src/main/java/cacheproxy/replication/ReplicatedStore.java
+++ b/proxy/src/main/java/cacheproxy/replication/ReplicatedStore.java
@@ -81,8 +81,8 @@
         }
         ReplicatedValue merged = entry.value.merge(value);
         if (merged.equals(entry.value)) {
-            // the value stands and its age restarts: a removal is remembered for as long as members still report the
-            // endpoint
+            // same or superseded value: renews the age, so that a removal is remembered while any member reports
+            // otherwise
             entry.writtenMs = Math.max(entry.writtenMs, nowMs - ageMs);
             return restoreToDigests(entry, nowMs);
         }
@@ -202,7 +202,9 @@
         }
     }
 
-    /** Entries in key hash order, after this hash or from the first, up to this size, but at least one if any. */
+    /**
+     * Entries in key hash order, after this hash or from the first, up to this size, but at least one if any is left.
+     */
     List<ReplicatedEntry> page(long afterHash, boolean first, int maxBytes, long nowMs) {
         List<ReplicatedEntry> page = new ArrayList<>();
         int bytes = 0;
--- a/proxy/src/main/java/cacheproxy/replication/StateTransfer.java
+++ b/proxy/src/main/java/cacheproxy/replication/StateTransfer.java
@@ -70,7 +70,7 @@
         return donor;
     }
 
-    /** Called each round: the donor to ask for the next page, null if one has been asked and may still answer. */
+    /** Called each round: the donor to ask for the next page, null while a request is in flight or no donor is left. */
     String donorToAsk() {
         if (donor != null && !requestDue && roundsWaited++ < PAGE_TIMEOUT_ROUNDS) {
             return null;
--- a/proxy/src/test/java/cacheproxy/control/ControlServerTest.java
+++ b/proxy/src/test/java/cacheproxy/control/ControlServerTest.java
@@ -40,7 +40,7 @@
 class ControlServerTest {
     private static final int MAX_CONNECTIONS = 32;
 
-    private final BlockingQueue<ControlServer.Reply> kept = new LinkedBlockingQueue<>();
+    private final BlockingQueue<ControlServer.Reply> keptReplies = new LinkedBlockingQueue<>();
     private final AtomicInteger handledRequests = new AtomicInteger();
     private final AtomicInteger bigReplies = new AtomicInteger();
     private final List<AutoCloseable> opened = new ArrayList<>();
@@ -71,7 +71,7 @@
         handledRequests.incrementAndGet();
         switch (op) {
             case "echo" -> reply.end(Map.of("text", String.valueOf(request.get("text"))));
-            case "keep" -> kept.add(reply);
+            case "keep" -> keptReplies.add(reply);
             case "big" -> {
                 bigReplies.incrementAndGet();
                 reply.end(Map.of("text", "x".repeat(1 << 16)));
@@ -103,8 +103,8 @@
                 client.ask(request("echo", id)));
     }
 
-    private ControlServer.Reply kept() throws InterruptedException {
-        ControlServer.Reply reply = kept.poll(10, TimeUnit.SECONDS);
+    private ControlServer.Reply takeKeptReply() throws InterruptedException {
+        ControlServer.Reply reply = keptReplies.poll(10, TimeUnit.SECONDS);
         assertTrue(reply != null, "no request was handled");
         return reply;
     }
@@ -131,7 +131,7 @@
         startServer(path);
         RawClient client = client();
         client.send(request("keep", "1") + "\n");
-        ControlServer.Reply reply = kept();
+        ControlServer.Reply reply = takeKeptReply();
         reply.part(Map.of("n", 1));
         reply.part(Map.of("n", 2));
         reply.end(Map.of("n", 3));
@@ -250,7 +250,7 @@
         assertEquals(1, handledRequests.get());
     }
 
-    /** A line without an end must not be read forever. */
+    /** A line without a line feed must not be buffered without limit. */
     @Test
     void rejectsLineWithoutLineFeedOnceTooLong() throws Exception {
         startServer(path);
@@ -307,9 +307,9 @@
         opened.add(ControlServer.open(loop, path, this::answer, 100));
         RawClient client = client();
         client.send(request("keep", "1") + "\n");
-        ControlServer.Reply reply = kept();
+        ControlServer.Reply reply = takeKeptReply();
         for (int i = 0; i < 3; i++) {
-            client().expectEnd(); // each of these was silent for as long
+            client().expectEnd(); // the server closes each after the idle timeout of 100 ms
         }
         reply.end(Map.of("n", 1));
         assertEquals(1, client.reply().get("n"));
@@ -330,9 +330,9 @@
         }
         client.send(all.toString());
         for (int i = 0; i < 300; i++) {
-            ControlServer.Reply reply = kept();
+            ControlServer.Reply reply = takeKeptReply();
             assertEchoed(other, Integer.toString(i));
-            assertTrue(kept.isEmpty(), "the next request was handled before the last reply to this one");
+            assertTrue(keptReplies.isEmpty(), "the next request was handled before the last reply to this one");
             reply.part(Map.of());
             reply.end(Map.of());
             assertEquals(i, client.reply().get("id"));
@@ -340,7 +340,7 @@
         }
     }
 
-    /** Replies that a client doesn't read must not fill the memory. */
+    /** Replies that a client doesn't read must not use up the memory of the server. */
     @Test
     void stopsReadingFromClientThatReadsNoReplies() throws Exception {
         startServer(path);
@@ -381,7 +381,7 @@
         startServer(path);
         RawClient client = client();
         client.send(request("keep", "1") + "\n");
-        ControlServer.Reply reply = kept();
+        ControlServer.Reply reply = takeKeptReply();
         assertTrue(reply.isOpen());
         client.close();
         for (long end = System.nanoTime() + 10_000_000_000L; reply.isOpen(); Thread.yield()) {
@@ -390,13 +390,13 @@
         }
     }
 
-    /** A client that has gone must not keep its connection while there is nothing to send to it. */
+    /** The connection of a client that has disconnected must be closed even while there is no reply to send. */
     @Test
     void detectsClientGoneWithoutSending() throws Exception {
         opened.add(ControlServer.open(loop, path, this::answer, 100));
         RawClient client = client();
         client.send(request("keep", "1") + "\n");
-        ControlServer.Reply reply = kept();
+        ControlServer.Reply reply = takeKeptReply();
         client.close();
         for (long end = System.nanoTime() + 10_000_000_000L; reply.isOpen(); Thread.yield()) {
             assertTrue(System.nanoTime() < end);
@@ -408,16 +408,16 @@
         opened.add(ControlServer.open(loop, path, this::answer, 100));
         RawClient client = client();
         client.send(request("keep", "1") + "\n");
-        ControlServer.Reply reply = kept();
+        ControlServer.Reply reply = takeKeptReply();
         client.send(request("keep", "2") + "\n" + request("keep", "3") + "\n");
         for (int i = 0; i < 4; i++) {
-            client().expectEnd(); // each of these was silent for as long
+            client().expectEnd(); // the server closes each after the idle timeout of 100 ms
         }
-        assertTrue(kept.isEmpty(), "the next request was handled before the last reply to this one");
+        assertTrue(keptReplies.isEmpty(), "the next request was handled before the last reply to this one");
         for (int i = 1; i <= 3; i++) {
             reply.end(Map.of());
             assertEquals(i, client.reply().get("id"));
-            reply = i < 3 ? kept() : null;
+            reply = i < 3 ? takeKeptReply() : null;
         }
     }
 
@@ -491,7 +491,7 @@
         }
         over.set(true);
         bad.join();
-        assertEquals(0, kept.size());
+        assertEquals(0, keptReplies.size());
     }
 
     // ---- socket path and folder ----
@@ -576,7 +576,7 @@
         }
     }
 
-    /** A plain file refuses connections like a stale socket and must not be removed. */
+    /** A plain file refuses connections like a stale socket but must not be removed. */
     @Test
     void keepsFileThatIsNotASocket() throws Exception {
         Files.writeString(path, "kept");
