--- a/proxy/src/main/java/cacheproxy/control/ProcessIdentity.java
+++ b/proxy/src/main/java/cacheproxy/control/ProcessIdentity.java
@@ -37,7 +37,7 @@
         return identity;
     }
 
-    /** Answers {@code hello} with the identity, and with a proof for the request's nonce if there is a secret. */
+    /** Replies to {@code hello} with the identity, and with a proof for the request's nonce if there is a secret. */
     public static void answerHello(
             Map<String, Object> identity, String secret, Map<String, Object> request, ControlServer.Reply reply) {
         String nonce = request.get("nonce") instanceof String s ? s : "";
@@ -45,10 +45,10 @@
             reply.fail("nonce: a text of 1 to " + MAX_NONCE_LENGTH + " characters is needed");
             return;
         }
-        Map<String, Object> answerHello = new LinkedHashMap<>(identity);
+        Map<String, Object> answer = new LinkedHashMap<>(identity);
         if (!secret.isEmpty()) {
-            answerHello.put("proof", Fingerprint.hmac(secret, String.valueOf(identity.get("name")), nonce));
+            answer.put("proof", Fingerprint.hmac(secret, String.valueOf(identity.get("name")), nonce));
         }
-        reply.end(answerHello);
+        reply.end(answer);
     }
 }
