--- a/fleet/src/main/java/cacheproxy/cli/AgentClient.java
+++ b/fleet/src/main/java/cacheproxy/cli/AgentClient.java
@@ -10,9 +10,9 @@
 /**
  * Calls one agent, over the socket in its state folder or over TLS. Calls block for at most the time given.
  *
- * @param name the name that the user gave it
- * @param folder its state folder; of a remote agent the folder of the client's certificates
- * @param remote its address and certificates; null: it is on this machine
+ * @param name the name that the user gave the agent
+ * @param folder state folder of a local agent; for a remote agent, the folder with the client's certificates
+ * @param remote address and certificates of a remote agent; null for an agent on this machine
  */
 record AgentClient(String name, Path folder, TlsEndpoint remote) {
     private static final long CALL_TIMEOUT_MS = 5_000;
@@ -21,17 +21,19 @@
         return folder.resolve("agent.sock");
     }
 
-    /** Its address, for messages. */
+    /** The agent's address, for messages. */
     String address() {
         return remote == null ? socket().toString() : remote.toString();
     }
 
-    /** What is specific to the agent among all that have the same name. */
+    /** Distinguishes the agent from other agents that have the same name. */
     String location() {
         return remote == null ? folder.toString() : address();
     }
 
-    /** Throws {@link CommandFailure} where the agent cannot be started or ended as a process from here. */
+    /**
+     * Throws {@link CommandFailure} unless the agent runs on this machine, so that its process can be started or ended.
+     */
     void requireLocal() {
         if (remote != null) {
             throw new CommandFailure(ExitCode.USAGE, "agent " + name + " is not on this machine: " + remote);
@@ -42,12 +44,12 @@
         return remote == null ? ControlClient.call(socket(), request, timeoutMs) : remote.call(request, timeoutMs);
     }
 
-    /** A connection for several replies; the caller closes it. */
+    /** Opens a connection for several replies; the caller closes it. */
     ControlClient open(long timeoutMs) throws IOException {
         return remote == null ? new ControlClient(socket()) : remote.open(timeoutMs);
     }
 
-    /** Whether it answers within {@code timeoutMs}. */
+    /** Whether the agent answers within {@code timeoutMs}. */
     boolean answers(long timeoutMs) {
         try {
             return Boolean.TRUE.equals(
@@ -58,8 +60,8 @@
     }
 
     /**
-     * Its reply to an operation with these fields, as name and value in turn. Throws {@link CommandFailure} where it is
-     * not reached, refuses, or gives a malformed reply.
+     * Returns the agent's reply to an operation. {@code fields} are names and values in turn. Throws
+     * {@link CommandFailure} if the agent is unreachable, refuses the operation, or sends a malformed reply.
      */
     Map<String, Object> call(AgentOperation operation, Object... fields) {
         Map<String, Object> reply;
@@ -67,26 +69,25 @@
             reply = call(request(operation, fields), CALL_TIMEOUT_MS);
         } catch (IOException e) {
             throw new CommandFailure(
-                    ExitCode.UNREACHABLE, "agent " + name + " is not reached at " + address() + ": " + e.getMessage());
+                    ExitCode.UNREACHABLE, "agent " + name + " cannot be reached at " + address() + ": " + e.getMessage());
         }
         if (Boolean.TRUE.equals(reply.get("gate"))) {
             throw new CommandFailure(
                     ExitCode.UNREACHABLE,
-                    "agent " + name + " lets nobody in at " + address() + ": " + reply.get("error"));
+                    "agent " + name + " rejects connections at " + address() + ": " + reply.get("error"));
         }
         checkReply(operation, reply);
         return reply;
     }
 
-    /** Throws {@link CommandFailure} where the reply reports a failure, or is malformed. */
+    /** Throws {@link CommandFailure} if the reply reports a failure or is malformed. */
     void checkReply(AgentOperation operation, Map<String, Object> reply) {
         if (Boolean.FALSE.equals(reply.get("ok"))) {
             throw new CommandFailure(ExitCode.REFUSED, "agent " + name + ": " + reply.get("error"));
         }
-        String malformed = operation.malformed(reply);
+        String malformed = operation.describeMalformed(reply);
         if (malformed != null) {
-            throw new CommandFailure(
-                    ExitCode.UNREACHABLE, "agent " + name + " gives an answer that makes no sense: " + malformed);
+            throw new CommandFailure(ExitCode.UNREACHABLE, "agent " + name + " sent a malformed reply: " + malformed);
         }
     }
 
--- a/fleet/src/main/java/cacheproxy/cli/AgentCommand.java
+++ b/fleet/src/main/java/cacheproxy/cli/AgentCommand.java
@@ -4,7 +4,7 @@
 import picocli.CommandLine.Mixin;
 
 /** {@code agent}. */
-@Command(name = "agent", description = "Starts an agent in the background, if none runs in that folder.")
+@Command(name = "agent", description = "Starts an agent in the background unless one already runs in its state folder.")
 final class AgentCommand extends ToolCommand {
     @Mixin
     private AgentOptions options;
--- a/fleet/src/main/java/cacheproxy/cli/AgentListing.java
+++ b/fleet/src/main/java/cacheproxy/cli/AgentListing.java
@@ -5,12 +5,12 @@
 import java.util.List;
 import java.util.Map;
 
-/** What several agents list of their instances. An agent that does not answer is reported beside those that do. */
+/** Collects the instance listings of several agents, including those that are unreachable. */
 final class AgentListing {
     private AgentListing() {}
 
     /**
-     * One object for each agent, as {@code --output json} prints it. Throws {@link CommandFailure} where all agents
+     * Returns one object per agent, as {@code --output json} prints it. Throws {@link CommandFailure} if all agents
      * refuse.
      *
      * @param operation {@link AgentOperation#LIST}, or {@link AgentOperation#STATUS} of the instances named
@@ -26,7 +26,7 @@
                 anyListed = true;
             } catch (CommandFailure refusal) {
                 firstRefusal = firstRefusal == null ? refusal : firstRefusal;
-                listings.add(refused(agent, refusal));
+                listings.add(refusedListing(agent, refusal));
             }
         }
         if (!anyListed && firstRefusal != null) {
@@ -35,7 +35,7 @@
         return listings;
     }
 
-    private static Map<String, Object> refused(AgentClient agent, CommandFailure refusal) {
+    private static Map<String, Object> refusedListing(AgentClient agent, CommandFailure refusal) {
         Map<String, Object> listing = new LinkedHashMap<>();
         listing.put("agent", agent.name());
         listing.put("reachable", true);
@@ -43,12 +43,12 @@
         return listing;
     }
 
-    /** Of an agent that does not answer: what it listed last, marked as such, never as stopped. */
+    /** For an unreachable agent, returns the cached last listing, marked as unreachable; it never shows as stopped. */
     private static Map<String, Object> listing(AgentClient agent, AgentOperation operation, List<String> names) {
         Map<String, Object> listing = new LinkedHashMap<>();
         listing.put("agent", agent.name());
         try {
-            listing.putAll(answer(agent, operation, names));
+            listing.putAll(callAgent(agent, operation, names));
             listing.put("agent", agent.name()); // the reply may hold a field of this name
             listing.put("reachable", true);
         } catch (CommandFailure failure) {
@@ -67,7 +67,7 @@
         return listing;
     }
 
-    private static Map<String, Object> answer(AgentClient agent, AgentOperation operation, List<String> names) {
+    private static Map<String, Object> callAgent(AgentClient agent, AgentOperation operation, List<String> names) {
         if (operation != AgentOperation.LIST) {
             return agent.call(operation, "names", names);
         }
--- a/fleet/src/main/java/cacheproxy/cli/AgentOperation.java
+++ b/fleet/src/main/java/cacheproxy/cli/AgentOperation.java
@@ -34,14 +34,14 @@
         return wireName;
     }
 
-    /** What is wrong with a reply that reports success, in words; null: nothing. */
-    String malformed(Map<String, Object> reply) {
+    /** Describes what is wrong with a reply that should report success; null if it is well-formed. */
+    String describeMalformed(Map<String, Object> reply) {
         if (!Boolean.TRUE.equals(reply.get("ok"))) {
-            return "ok: true or false is needed, not " + TerminalText.shortened(reply.get("ok"));
+            return "ok: expected true or false, got " + TerminalText.shortened(reply.get("ok"));
         }
         Object value = reply.get(replyField);
         return replyType.isInstance(value)
                 ? null
-                : replyField + ": " + expected + " is needed, not " + TerminalText.shortened(value);
+                : replyField + ": expected " + expected + ", got " + TerminalText.shortened(value);
     }
 }
--- a/fleet/src/main/java/cacheproxy/cli/AgentOptions.java
+++ b/fleet/src/main/java/cacheproxy/cli/AgentOptions.java
@@ -4,23 +4,23 @@
 import java.util.List;
 import picocli.CommandLine.Option;
 
-/** Options of each command that talks to agents. */
+/** Options of every command that calls agents. */
 final class AgentOptions extends OutputOptions {
     @Option(
             names = {"-a", "--agent"},
             paramLabel = "[NAME=]FOLDER",
-            description = "An agent's state folder, or tls://ADDRESS:PORT?FOLDER with client.pem, "
-                    + "client.key, agents.pem and perhaps token in it; several may be given. Else those in "
-                    + "CACHEPROXY_AGENTS, separated by commas, else .cacheproxy here, else the one of `up`.")
+            description = "An agent's state folder, or tls://ADDRESS:PORT?FOLDER, where FOLDER holds client.pem, "
+                    + "client.key, agents.pem and optionally token. May be repeated. Default: the agents in "
+                    + "CACHEPROXY_AGENTS (comma-separated), else ./.cacheproxy, else the agent that `up` starts.")
     private List<String> agents = new ArrayList<>();
 
-    /** The agents that the command is for. Throws {@link CommandFailure} where an option is invalid. */
+    /** The agents that the command calls. Throws {@link CommandFailure} if an option is invalid. */
     AgentSelection agents() {
         json();
         return new AgentSelection(agents, System.getenv());
     }
 
-    /** The agent of a command that is for one agent at a time. */
+    /** The agent of a command that accepts only one agent. */
     AgentClient agent() {
         return agents().single();
     }
--- a/fleet/src/main/java/cacheproxy/cli/AgentSelection.java
+++ b/fleet/src/main/java/cacheproxy/cli/AgentSelection.java
@@ -8,15 +8,15 @@
 import java.util.List;
 import java.util.Map;
 
-/** The agents that a command is for. */
+/** The agents that a command calls. */
 final class AgentSelection {
     private static final String AGENTS_VARIABLE = "CACHEPROXY_AGENTS";
-    /** The name of {@link #AGENTS_VARIABLE} in earlier versions, read where the new one is not set. */
+    /** The name of {@link #AGENTS_VARIABLE} in earlier versions, read if the current one is not set. */
     private static final String EARLIER_AGENTS_VARIABLE = "HATCH_AGENTS";
 
-    private static final String FOLDER_HERE = ".cacheproxy";
-    /** Used where an earlier version made it and there is no {@link #FOLDER_HERE}. */
-    private static final String EARLIER_FOLDER_HERE = ".hatch";
+    private static final String LOCAL_FOLDER = ".cacheproxy";
+    /** Used if an earlier version created it and there is no {@link #LOCAL_FOLDER}. */
+    private static final String EARLIER_LOCAL_FOLDER = ".hatch";
 
     private static final String DEFAULT_FOLDER_PREFIX = "cacheproxy-";
     private static final String EARLIER_DEFAULT_FOLDER_PREFIX = "hatch-";
@@ -26,22 +26,22 @@
     private final List<AgentClient> all = new ArrayList<>();
 
     /**
-     * The agents {@code given} as NAME=FOLDER, FOLDER or NAME=tls://ADDRESS:PORT?FOLDER. With none, those listed in the
-     * environment variable CACHEPROXY_AGENTS; else the folder .cacheproxy here; else {@link #defaultFolder}. Where one
-     * of these is missing and the one of an earlier version (HATCH_AGENTS, .hatch) is there, that one is used.
+     * The agents {@code given} as NAME=FOLDER, FOLDER or NAME=tls://ADDRESS:PORT?FOLDER. If none is given: those listed
+     * in the environment variable CACHEPROXY_AGENTS, else the folder .cacheproxy in the working directory, else
+     * {@link #defaultFolder}. Each falls back to its name in earlier versions (HATCH_AGENTS, .hatch).
      */
     AgentSelection(List<String> given, Map<String, String> env) {
         this(given, env, Path.of(""));
     }
 
-    /** @param here the folder in which .cacheproxy is looked for */
+    /** @param here the directory in which .cacheproxy is looked up */
     AgentSelection(List<String> given, Map<String, String> env, Path here) {
         List<String> texts = new ArrayList<>(given);
         if (texts.isEmpty()) {
             texts.addAll(listedIn(env));
         }
         if (texts.isEmpty()) {
-            texts.add(folderHere(here));
+            texts.add(localFolder(here));
         }
         texts.forEach(text -> all.add(agent(text)));
     }
@@ -56,10 +56,10 @@
         String path = text.substring(separator + 1).strip();
         Path folder = Path.of(path).toAbsolutePath().normalize();
         if (path.isEmpty() || folder.getFileName() == null) {
-            throw new CommandFailure(ExitCode.USAGE, "an agent's state folder is needed, not '" + text + "'");
+            throw new CommandFailure(ExitCode.USAGE, "expected an agent's state folder, got '" + text + "'");
         }
         String last = folder.getFileName().toString();
-        String name = separator >= 0 ? text.substring(0, separator).strip() : isFolderHere(last) ? "local" : last;
+        String name = separator >= 0 ? text.substring(0, separator).strip() : isLocalFolder(last) ? "local" : last;
         return new AgentClient(name, folder, null);
     }
 
@@ -68,7 +68,7 @@
         int folder = location.indexOf('?');
         String name = text.substring(0, scheme).strip();
         if (folder < 0 || folder == location.length() - 1 || !name.isEmpty() && !name.matches("[^=/]+=")) {
-            throw new CommandFailure(ExitCode.USAGE, "--agent: NAME=tls://ADDRESS:PORT?FOLDER is needed, not " + text);
+            throw new CommandFailure(ExitCode.USAGE, "--agent: expected NAME=tls://ADDRESS:PORT?FOLDER, got " + text);
         }
         String address = location.substring(0, folder);
         Path certificates =
@@ -92,8 +92,8 @@
         return listed.isBlank() ? List.of() : List.of(listed.split(","));
     }
 
-    private static String folderHere(Path here) {
-        for (String name : List.of(FOLDER_HERE, EARLIER_FOLDER_HERE)) {
+    private static String localFolder(Path here) {
+        for (String name : List.of(LOCAL_FOLDER, EARLIER_LOCAL_FOLDER)) {
             Path folder = here.resolve(name);
             if (Files.exists(folder)) {
                 return folder.toString();
@@ -102,13 +102,14 @@
         return "local=" + defaultFolder(Path.of(System.getProperty("java.io.tmpdir")), System.getProperty("user.name"));
     }
 
-    private static boolean isFolderHere(String name) {
-        return name.equals(FOLDER_HERE) || name.equals(EARLIER_FOLDER_HERE);
+    private static boolean isLocalFolder(String name) {
+        return name.equals(LOCAL_FOLDER) || name.equals(EARLIER_LOCAL_FOLDER);
     }
 
     /**
-     * The state folder of an agent that is not named: cacheproxy-USER in the temporary folder, or hatch-USER where an
-     * earlier version made that one and there is no other. Its path is short, since socket paths in it are limited.
+     * The state folder of the default agent: cacheproxy-USER in the temporary folder, or hatch-USER if an earlier
+     * version created that one and the former does not exist. The path is short because the length of socket paths is
+     * limited.
      */
     static Path defaultFolder(Path temporary, String user) {
         Path folder = temporary.resolve(DEFAULT_FOLDER_PREFIX + user);
@@ -120,10 +121,12 @@
         return all;
     }
 
-    /** Throws {@link CommandFailure} unless exactly one is selected: what changes something is for one agent. */
+    /**
+     * Throws {@link CommandFailure} unless exactly one agent is selected: commands that change state accept only one.
+     */
     AgentClient single() {
         if (all.size() != 1) {
-            throw new CommandFailure(ExitCode.USAGE, "several agents: say which with --agent");
+            throw new CommandFailure(ExitCode.USAGE, "several agents selected: choose one with --agent");
         }
         return all.get(0);
     }
--- a/fleet/src/main/java/cacheproxy/cli/ApplyCommand.java
+++ b/fleet/src/main/java/cacheproxy/cli/ApplyCommand.java
@@ -9,8 +9,8 @@
 /** {@code apply}. */
 @Command(
         name = "apply",
-        description = "Declares a site; starts, ends and reloads what that changes. "
-                + "What only a restart can change is told, and left to restart or rolling-restart.")
+        description = "Applies a site file: starts, stops and reloads the instances that it changes. "
+                + "Lists changes that need a restart; use restart or rolling-restart for them.")
 final class ApplyCommand extends ToolCommand {
     @Mixin
     private AgentOptions options;
@@ -25,6 +25,6 @@
     ExitCode run() throws InterruptedException {
         AgentClient agent = options.agent();
         new SiteChange(agent.call(AgentOperation.APPLY, "site", SiteSource.read(file))).print(options);
-        return new InstanceWaiter(options, agent, List.of(), InstanceWaiter.Goal.READY).awaitIfAsked(wait);
+        return new InstanceWaiter(options, agent, List.of(), InstanceWaiter.Goal.READY).awaitUnlessDisabled(wait);
     }
 }
--- a/fleet/src/main/java/cacheproxy/cli/CacheproxyctlCommand.java
+++ b/fleet/src/main/java/cacheproxy/cli/CacheproxyctlCommand.java
@@ -8,7 +8,7 @@
 import picocli.CommandLine;
 import picocli.CommandLine.Command;
 
-/** The command-line tool. Its commands call agents and print what they answer; all decisions are the agents'. */
+/** The command-line tool. Its commands call agents and print their replies; the agents make all decisions. */
 @Command(
         name = "cacheproxyctl",
         mixinStandardHelpOptions = true,
@@ -80,6 +80,6 @@
         if (failure instanceof CommandFailure command) {
             return command.exitCode();
         }
-        return failure instanceof InvalidInputException ? ExitCode.REFUSED : ExitCode.NOT_AS_WANTED;
+        return failure instanceof InvalidInputException ? ExitCode.REFUSED : ExitCode.NOT_IN_DESIRED_STATE;
     }
 }
--- a/fleet/src/main/java/cacheproxy/cli/CheckCommand.java
+++ b/fleet/src/main/java/cacheproxy/cli/CheckCommand.java
@@ -9,7 +9,7 @@
 import picocli.CommandLine.Parameters;
 
 /** {@code check}. */
-@Command(name = "check", description = "Checks a site's file; asks no agent.")
+@Command(name = "check", description = "Validates a site file without calling an agent.")
 final class CheckCommand extends ToolCommand {
     @Mixin
     private AgentOptions options;
@@ -28,7 +28,7 @@
             summary.put("instances", count);
             options.printJson(summary);
         } else {
-            options.printLine(site.name() + ": " + count + " instances, as they should be");
+            options.printLine(site.name() + ": " + count + " instances, valid");
         }
         return ExitCode.OK;
     }
--- a/fleet/src/main/java/cacheproxy/cli/DiffCommand.java
+++ b/fleet/src/main/java/cacheproxy/cli/DiffCommand.java
@@ -6,7 +6,7 @@
 import picocli.CommandLine.Parameters;
 
 /** {@code diff}. */
-@Command(name = "diff", description = "Tells what applying a site's file would change.")
+@Command(name = "diff", description = "Shows what applying a site file would change.")
 final class DiffCommand extends ToolCommand {
     @Mixin
     private AgentOptions options;
@@ -20,6 +20,6 @@
         String site = SiteSource.read(file);
         SiteChange change = new SiteChange(agent.call(AgentOperation.APPLY, "site", site, "dry", true));
         change.print(options);
-        return change.isEmpty() ? ExitCode.OK : ExitCode.NOT_AS_WANTED;
+        return change.isEmpty() ? ExitCode.OK : ExitCode.NOT_IN_DESIRED_STATE;
     }
 }
--- a/fleet/src/main/java/cacheproxy/cli/DownCommand.java
+++ b/fleet/src/main/java/cacheproxy/cli/DownCommand.java
@@ -5,7 +5,7 @@
 import picocli.CommandLine.Mixin;
 
 /** {@code down}. */
-@Command(name = "down", description = "Stops all instances of the agent here, and then the agent.")
+@Command(name = "down", description = "Stops all instances of a local agent, then the agent.")
 final class DownCommand extends ToolCommand {
     @Mixin
     private AgentOptions options;
@@ -16,7 +16,7 @@
     @Override
     ExitCode run() throws InterruptedException {
         AgentClient agent = options.agent();
-        agent.requireLocal(); // its process is waited for
+        agent.requireLocal(); // the command waits for the end of the agent's process
         agent.call(AgentOperation.STOP, "names", List.of());
         ExitCode code =
                 new InstanceWaiter(options, agent, List.of(), InstanceWaiter.Goal.ENDED).await(wait.timeoutSeconds);
--- a/fleet/src/main/java/cacheproxy/cli/EventsCommand.java
+++ b/fleet/src/main/java/cacheproxy/cli/EventsCommand.java
@@ -8,21 +8,21 @@
 import picocli.CommandLine.Option;
 
 /** {@code events}. */
-@Command(name = "events", description = "Shows what has happened.")
+@Command(name = "events", description = "Shows the events of an agent.")
 final class EventsCommand extends ToolCommand {
     @Mixin
     private AgentOptions options;
 
     private static final long REPLY_TIMEOUT_MS = 60_000;
-    /** Beyond any command's life, and small enough to be counted in nanoseconds. */
+    /** Longer than any command runs, and small enough not to overflow when converted to nanoseconds. */
     private static final long NO_TIMEOUT_MS = Long.MAX_VALUE / 2_000_000;
 
     @Option(
             names = {"-f", "--follow"},
-            description = "Goes on showing what happens.")
+            description = "Keeps showing new events.")
     private boolean follow;
 
-    @Option(names = "--from", paramLabel = "NUMBER", description = "From this event on (1).")
+    @Option(names = "--from", paramLabel = "NUMBER", description = "Number of the first event to show (default: 1).")
     private long from = 1;
 
     @Override
--- a/fleet/src/main/java/cacheproxy/cli/ExitCode.java
+++ b/fleet/src/main/java/cacheproxy/cli/ExitCode.java
@@ -3,13 +3,13 @@
 /** Exit codes of the tool; scripts depend on their values. */
 enum ExitCode {
     OK(0, "done"),
-    /** The command was carried out, and an instance is not as wanted, or an operation failed for a name. */
-    NOT_AS_WANTED(1, "done, and something is not as wanted"),
-    USAGE(2, "wrong usage"),
-    UNREACHABLE(3, "an agent does not answer"),
+    /** The command completed, but an instance is not in its desired state, or the operation failed for an instance. */
+    NOT_IN_DESIRED_STATE(1, "done, but something is not in its desired state"),
+    USAGE(2, "invalid usage"),
+    UNREACHABLE(3, "an agent is unreachable"),
     /** The agent refused the request, or the input is invalid. */
-    REFUSED(4, "refused, nothing is changed"),
-    TIME_OUT(5, "the time given is over");
+    REFUSED(4, "refused, nothing was changed"),
+    TIMED_OUT(5, "timed out");
 
     private final int value;
     private final String meaning;
@@ -23,7 +23,7 @@
         return value;
     }
 
-    /** What it means, as {@code --help} prints it. */
+    /** The meaning that {@code --help} prints. */
     String meaning() {
         return meaning;
     }
--- a/fleet/src/main/java/cacheproxy/cli/InstanceCommand.java
+++ b/fleet/src/main/java/cacheproxy/cli/InstanceCommand.java
@@ -7,7 +7,7 @@
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Parameters;
 
-/** A command that has an agent do one operation on each of the instances named, and waits for its effect. */
+/** A command that asks an agent for one operation on each named instance and waits until it took effect. */
 abstract class InstanceCommand extends ToolCommand {
     @Mixin
     private AgentOptions options;
@@ -15,10 +15,10 @@
     @Mixin
     private WaitOptions wait;
 
-    @Parameters(paramLabel = "NAME", description = "Which; none is an error without --all.")
+    @Parameters(paramLabel = "NAME", description = "Instances; required unless --all is given.")
     private List<String> names = new ArrayList<>();
 
-    @Option(names = "--all", description = "All of the site.")
+    @Option(names = "--all", description = "All instances of the site.")
     private boolean all;
 
     private final AgentOperation operation;
@@ -32,19 +32,19 @@
     @Override
     final ExitCode run() throws InterruptedException {
         if (names.isEmpty() != all) {
-            throw new CommandFailure(ExitCode.USAGE, "name instances, or say --all");
+            throw new CommandFailure(ExitCode.USAGE, "name instances or use --all");
         }
         AgentClient agent = options.agent();
         Map<String, Long> starts = InstanceWaiter.starts(agent);
         Map<String, Object> reply = agent.call(operation, "names", names);
         if (printFailures(reply.get("results"))) {
-            return ExitCode.NOT_AS_WANTED;
+            return ExitCode.NOT_IN_DESIRED_STATE;
         }
         Map<String, Long> startsBefore = operation == AgentOperation.RESTART ? starts : Map.of();
-        return new InstanceWaiter(options, agent, names, goal, startsBefore).awaitIfAsked(wait);
+        return new InstanceWaiter(options, agent, names, goal, startsBefore).awaitUnlessDisabled(wait);
     }
 
-    /** Prints why the operation failed, for each name of which it did; returns whether there is one. */
+    /** Prints the reason for each instance for which the operation failed; returns whether there is any. */
     private boolean printFailures(Object results) {
         boolean failed = false;
         if (results instanceof Map<?, ?> reasons) {
--- a/fleet/src/main/java/cacheproxy/cli/InstanceWaiter.java
+++ b/fleet/src/main/java/cacheproxy/cli/InstanceWaiter.java
@@ -8,14 +8,14 @@
 import java.util.TreeSet;
 import java.util.concurrent.TimeUnit;
 
-/** Waits until instances of one agent are as wanted, and prints each change of their states on the way. */
+/** Waits until instances of one agent reach the goal, and prints each change of their states. */
 final class InstanceWaiter {
-    /** Between two questions to an agent. */
+    /** Interval between two requests to an agent. */
     static final long POLL_INTERVAL_MS = 200;
 
-    /** What is waited for. */
+    /** The state that the waiter waits for. */
     enum Goal {
-        /** Ready those that are to run, ended the others. */
+        /** Instances that are declared to run are ready; the others have ended. */
         READY,
         ENDED
     }
@@ -27,12 +27,15 @@
     private final Map<String, Long> startsBefore;
     private final Map<String, String> shownStates = new HashMap<>();
 
-    /** @param names the instances waited for; empty for all */
+    /** @param names the instances to wait for; empty for all */
     InstanceWaiter(AgentOptions options, AgentClient agent, List<String> names, Goal goal) {
         this(options, agent, names, goal, Map.of());
     }
 
-    /** @param startsBefore number of the last start by name; an instance is ready once it has a later one */
+    /**
+     * @param startsBefore number of the last start by instance name; an instance counts as ready only after a newer
+     *     start
+     */
     InstanceWaiter(
             AgentOptions options, AgentClient agent, List<String> names, Goal goal, Map<String, Long> startsBefore) {
         this.options = options;
@@ -42,7 +45,7 @@
         this.startsBefore = startsBefore;
     }
 
-    /** The instances that an agent lists, with the number of the last start of each. */
+    /** The number of the last start of each instance that an agent lists, by name. */
     static Map<String, Long> starts(AgentClient agent) {
         Map<String, Long> starts = new HashMap<>();
         for (ListedInstance instance : ReplyFields.instances(agent.call(AgentOperation.LIST))) {
@@ -51,36 +54,37 @@
         return starts;
     }
 
-    /** As {@link #await}, unless the options say not to wait. */
-    ExitCode awaitIfAsked(WaitOptions wait) throws InterruptedException {
+    /** Calls {@link #await} unless the options disable waiting. */
+    ExitCode awaitUnlessDisabled(WaitOptions wait) throws InterruptedException {
         return wait.noWait ? ExitCode.OK : await(wait.timeoutSeconds);
     }
 
-    /** Returns once all are as wanted, one has failed, or the time is over. */
+    /** Returns once all instances reached the goal, one has failed, or the timeout has passed. */
     ExitCode await(int timeoutSeconds) throws InterruptedException {
         long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(timeoutSeconds);
         while (true) {
-            Progress progress = look();
+            Progress progress = poll();
             if (progress.pending.isEmpty()) {
                 return ExitCode.OK;
             }
             if (progress.failed || System.nanoTime() > end) {
-                options.printProgress("cacheproxyctl: not as wanted: " + String.join(", ", progress.pending));
-                return progress.failed ? ExitCode.NOT_AS_WANTED : ExitCode.TIME_OUT;
+                options.printProgress(
+                        "cacheproxyctl: not in the desired state: " + String.join(", ", progress.pending));
+                return progress.failed ? ExitCode.NOT_IN_DESIRED_STATE : ExitCode.TIMED_OUT;
             }
             Thread.sleep(POLL_INTERVAL_MS);
         }
     }
 
     /**
-     * What one look at the instances shows.
+     * The result of one poll of the instances.
      *
-     * @param pending names of those that are not yet as wanted
-     * @param failed whether one of them will not come to it by itself
+     * @param pending names of the instances that have not reached the goal yet
+     * @param failed whether one of them will not reach the goal without intervention
      */
     private record Progress(Set<String> pending, boolean failed) {}
 
-    private Progress look() {
+    private Progress poll() {
         Set<String> pending = new TreeSet<>();
         boolean failed = false;
         List<String> missing = new ArrayList<>(names);
@@ -90,34 +94,34 @@
                 continue;
             }
             missing.removeIf(name::equals);
-            if (!reached(instance)) {
+            if (!reachedGoal(instance)) {
                 pending.add(name);
                 failed |= failed(instance);
             }
             showChange(instance);
         }
-        if (goal == Goal.READY && !missing.isEmpty()) { // removed from the site meanwhile
+        if (goal == Goal.READY && !missing.isEmpty()) { // removed from the site in the meantime
             pending.addAll(missing);
             failed = true;
         }
         return new Progress(pending, failed);
     }
 
-    private boolean reached(ListedInstance instance) {
-        boolean toBeReady = goal == Goal.READY && (instance.wanted() || names.contains(instance.name()));
-        if (!toBeReady) {
-            return instance.endedAsWanted();
+    private boolean reachedGoal(ListedInstance instance) {
+        boolean mustBeReady = goal == Goal.READY && (instance.wanted() || names.contains(instance.name()));
+        if (!mustBeReady) {
+            return instance.hasEnded();
         }
-        return instance.ready() && startedAnew(instance) && !instance.configurationRefused();
+        return instance.ready() && restarted(instance) && !instance.configurationRefused();
     }
 
-    private boolean startedAnew(ListedInstance instance) {
+    private boolean restarted(ListedInstance instance) {
         Long before = startsBefore.get(instance.name());
         return before == null || instance.start(agent) != before;
     }
 
     private static boolean failed(ListedInstance instance) {
-        // while an instance reloads, a refusal is that of the configuration before
+        // while an instance reloads, the reported refusal is that of the previous configuration
         boolean refused = instance.configurationRefused() && !instance.state().equals("reloading");
         return refused || instance.state().equals("given up");
     }
--- a/fleet/src/main/java/cacheproxy/cli/LastListing.java
+++ b/fleet/src/main/java/cacheproxy/cli/LastListing.java
@@ -7,10 +7,10 @@
 import java.nio.file.StandardCopyOption;
 import java.util.Map;
 
-/** Caches what each agent listed last, in the user's cache folder, for the time when the agent does not answer. */
+/** Caches the last listing of each agent in the user's cache folder, shown while the agent is unreachable. */
 final class LastListing {
     private static final String CACHE_FOLDER = "cacheproxyctl";
-    /** The name of {@link #CACHE_FOLDER} in earlier versions, read where the new one lacks the file. */
+    /** The name of {@link #CACHE_FOLDER} in earlier versions, read if the current one lacks the file. */
     private static final String EARLIER_CACHE_FOLDER = "hatchctl";
 
     private LastListing() {}
@@ -25,11 +25,11 @@
             Files.writeString(temporary, ControlCodec.encode(listing));
             Files.move(temporary, file, StandardCopyOption.REPLACE_EXISTING);
         } catch (IOException e) {
-            // without it an agent that does not answer is shown without its instances
+            // without the cache, an unreachable agent is shown without its instances
         }
     }
 
-    /** The cached listing with its age, {@code ageMs}; null where there is none that can be read. */
+    /** The cached listing with its age, {@code ageMs}; null if none can be read. */
     static Map<String, Object> read(AgentClient agent) {
         try {
             Path file = file(agent, CACHE_FOLDER);
@@ -53,7 +53,7 @@
         return userCache().resolve(cacheFolder).resolve(file);
     }
 
-    /** XDG_CACHE_HOME; an empty or relative value counts as not set, as the XDG specification asks. */
+    /** XDG_CACHE_HOME; an empty or relative value counts as not set, as the XDG specification requires. */
     private static Path userCache() {
         String set = System.getenv().getOrDefault("XDG_CACHE_HOME", "");
         return set.startsWith("/") ? Path.of(set) : Path.of(System.getProperty("user.home"), ".cache");
--- a/fleet/src/main/java/cacheproxy/cli/ListCommand.java
+++ b/fleet/src/main/java/cacheproxy/cli/ListCommand.java
@@ -5,7 +5,7 @@
 import picocli.CommandLine.Mixin;
 
 /** {@code list}. */
-@Command(name = "list", description = "Shows all instances of all agents, a line each.")
+@Command(name = "list", description = "Lists all instances of all agents, one per line.")
 final class ListCommand extends ToolCommand {
     @Mixin
     private AgentOptions options;
--- a/fleet/src/main/java/cacheproxy/cli/ListedEvent.java
+++ b/fleet/src/main/java/cacheproxy/cli/ListedEvent.java
@@ -11,29 +11,29 @@
                 .toList();
     }
 
-    /** The instance that it concerns; empty: the agent itself. */
+    /** The instance that the event concerns; empty for the agent itself. */
     String name() {
         return String.valueOf(fields.get("name"));
     }
 
-    String what() {
+    String description() {
         return String.valueOf(fields.get("what"));
     }
 
     /** The line that `events` prints. */
     String line() {
-        String who = name().isEmpty() ? "agent" : name();
-        return fields.get("time") + "  " + who + "  " + what();
+        String subject = name().isEmpty() ? "agent" : name();
+        return fields.get("time") + "  " + subject + "  " + description();
     }
 
-    /** How a rolling restart ended, if this event tells it; else null. */
+    /** The outcome of a rolling restart if this event reports its end; else null. */
     ExitCode rollingRestartOutcome() {
-        if (!name().isEmpty() || !what().startsWith("rolling restart")) {
+        if (!name().isEmpty() || !description().startsWith("rolling restart")) {
             return null;
         }
-        if (what().endsWith("is done")) {
+        if (description().endsWith("is done")) {
             return ExitCode.OK;
         }
-        return what().contains(" stopped: ") ? ExitCode.NOT_AS_WANTED : null;
+        return description().contains(" stopped: ") ? ExitCode.NOT_IN_DESIRED_STATE : null;
     }
 }
--- a/fleet/src/main/java/cacheproxy/cli/ListedInstance.java
+++ b/fleet/src/main/java/cacheproxy/cli/ListedInstance.java
@@ -7,10 +7,10 @@
 
 /** One instance as an agent lists it. */
 record ListedInstance(Map<String, Object> fields) {
-    /** States in which there is no process. */
+    /** States in which the instance has no process. */
     private static final Set<String> NOT_RUNNING = Set.of("declared", "stopped", "crashed", "backing off", "given up");
 
-    private static final Set<String> ENDED_AS_WANTED = Set.of("stopped", "declared");
+    private static final Set<String> ENDED = Set.of("stopped", "declared");
 
     String name() {
         return String.valueOf(fields.get("name"));
@@ -33,28 +33,28 @@
         return state().equals("ready");
     }
 
-    boolean endedAsWanted() {
-        return ENDED_AS_WANTED.contains(state());
+    boolean hasEnded() {
+        return ENDED.contains(state());
     }
 
-    /** Whether its state is the one declared, and its configuration was not refused. */
-    boolean asWanted() {
+    /** Whether the instance is in its declared state and its configuration was not refused. */
+    boolean inDesiredState() {
         return (wanted() ? ready() : NOT_RUNNING.contains(state())) && !configurationRefused();
     }
 
-    /** The number of its last start. */
+    /** The number of the last start. */
     long start(AgentClient agent) {
         return ReplyFields.number(agent, fields, "start");
     }
 
-    /** What an operator should know besides the state; empty: nothing. */
+    /** Additional information for the operator; empty if there is none. */
     String remark() {
         List<String> remarks = new ArrayList<>();
         if (!wanted()) {
-            remarks.add("not wanted");
+            remarks.add("not declared to run");
         }
         if (fields.get("needRestart") != null) {
-            remarks.add("needs a restart to be as declared");
+            remarks.add("needs a restart to apply the declared settings");
         }
         if (fields.get("trouble") != null) {
             remarks.add(String.valueOf(fields.get("trouble")));
--- a/fleet/src/main/java/cacheproxy/cli/ListingPrinter.java
+++ b/fleet/src/main/java/cacheproxy/cli/ListingPrinter.java
@@ -5,23 +5,23 @@
 import java.util.Map;
 import java.util.Set;
 
-/** Prints the listings of several agents, and tells by an exit code whether all is as wanted. */
+/** Prints the listings of several agents; the exit code reports whether all instances are in their desired state. */
 final class ListingPrinter {
-    /** Fields of an instance's own status that say nothing to the user. */
+    /** Protocol fields of an instance's status that are not printed. */
     private static final Set<String> HIDDEN = Set.of("v", "ok", "end", "name");
 
     private final OutputOptions output;
     private final List<Map<String, Object>> listings;
     private boolean unreachable;
     private boolean refused;
-    private boolean notAsWanted;
+    private boolean notInDesiredState;
 
     ListingPrinter(OutputOptions output, List<Map<String, Object>> listings) {
         this.output = output;
         this.listings = listings;
     }
 
-    /** @param details whether a table is followed by each instance's own status */
+    /** @param details whether the table is followed by the status that each instance reports */
     ExitCode print(boolean details) {
         TextTable table = table();
         if (output.json()) {
@@ -38,7 +38,7 @@
         if (refused) {
             return ExitCode.REFUSED;
         }
-        return notAsWanted ? ExitCode.NOT_AS_WANTED : ExitCode.OK;
+        return notInDesiredState ? ExitCode.NOT_IN_DESIRED_STATE : ExitCode.OK;
     }
 
     private TextTable table() {
@@ -47,10 +47,10 @@
             boolean reachable = Boolean.TRUE.equals(listing.get("reachable"));
             if (!reachable) {
                 unreachable = true;
-                agentRow(table, listing, "unreachable", known(listing) + "; " + listing.get("error"));
+                agentRow(table, listing, "unreachable", lastListingAge(listing) + "; " + listing.get("error"));
             }
             for (ListedInstance instance : ReplyFields.instances(listing)) {
-                notAsWanted |= reachable && !instance.asWanted();
+                notInDesiredState |= reachable && !instance.inDesiredState();
                 instanceRow(table, listing, instance, reachable);
             }
             refused |= listing.get("refused") != null;
@@ -63,10 +63,10 @@
         return table;
     }
 
-    private static String known(Map<String, Object> listing) {
+    private static String lastListingAge(Map<String, Object> listing) {
         return listing.get("ageMs") == null
-                ? "nothing is known of its instances"
-                : "below: as it said " + TextTable.span(listing.get("ageMs")) + " ago";
+                ? "its instances are unknown"
+                : "below: last listing, " + TextTable.formatDuration(listing.get("ageMs")) + " ago";
     }
 
     private static void agentRow(TextTable table, Map<String, Object> listing, String state, Object remark) {
@@ -81,7 +81,7 @@
                 listing.get("agent"),
                 fields.get("name"),
                 state,
-                TextTable.span(fields.get("forMs")),
+                TextTable.formatDuration(fields.get("forMs")),
                 fields.get("pid"),
                 fields.get("start"),
                 fields.get("listen"),
--- a/fleet/src/main/java/cacheproxy/cli/LocalAgent.java
+++ b/fleet/src/main/java/cacheproxy/cli/LocalAgent.java
@@ -9,7 +9,7 @@
 import java.util.Map;
 import java.util.concurrent.TimeUnit;
 
-/** Starts and ends an agent of this machine as a process in the background. */
+/** Starts and ends an agent as a background process on this machine. */
 public final class LocalAgent {
     /** Options of the agent's JVM: a small heap with a small young generation, since most objects die young. */
     public static final List<String> AGENT_JVM = List.of(
@@ -23,30 +23,31 @@
             "-Xmx64m");
 
     private static final long START_TIMEOUT_MS = 10_000;
-    private static final long ANSWER_TIMEOUT_MS = 300;
+    private static final long REPLY_TIMEOUT_MS = 300;
     private static final long START_POLL_MS = 50;
     private static final long END_POLL_MS = 20;
 
     private LocalAgent() {}
 
     /**
-     * Starts the agent if none answers, in a session of its own, so that Ctrl-C here does not reach it. Throws
-     * {@link CommandFailure} with the agent's output where it does not start.
+     * Starts the agent if none answers, in its own session so that Ctrl-C in this terminal does not reach it. Throws
+     * {@link CommandFailure} with the agent's output if it does not start.
      */
     static void start(AgentClient agent) throws InterruptedException {
         agent.requireLocal();
-        if (agent.answers(ANSWER_TIMEOUT_MS)) {
+        if (agent.answers(REPLY_TIMEOUT_MS)) {
             return;
         }
-        Path log = agent.folder().resolve("agent.log"); // not beside the folder: there others may place a link
+        Path log = agent.folder()
+                .resolve("agent.log"); // in the folder: outside it, other users could place a symbolic link
         try {
-            makeFolder(agent.folder());
+            createFolder(agent.folder());
             Process process = new ProcessBuilder(command(agent.folder()))
                     .redirectErrorStream(true)
                     .redirectOutput(log.toFile())
                     .start();
             long end = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(START_TIMEOUT_MS);
-            while (!agent.answers(ANSWER_TIMEOUT_MS)) {
+            while (!agent.answers(REPLY_TIMEOUT_MS)) {
                 if (!process.isAlive() || System.nanoTime() > end) {
                     throw new CommandFailure(
                             ExitCode.UNREACHABLE,
@@ -71,7 +72,7 @@
         return command;
     }
 
-    private static void makeFolder(Path folder) throws IOException {
+    private static void createFolder(Path folder) throws IOException {
         if (Files.notExists(folder)) {
             Files.createDirectories(folder.getParent());
             Files.createDirectory(
@@ -79,7 +80,7 @@
         }
     }
 
-    /** Ends the agent and waits for its process. Its instances go on, so they are to be stopped before. */
+    /** Ends the agent and waits for its process. Its instances keep running, so stop them first. */
     static void end(AgentClient agent) throws InterruptedException {
         Map<String, Object> reply = agent.call(AgentOperation.END);
         long pid = ReplyFields.number(agent, reply, "pid");
--- a/fleet/src/main/java/cacheproxy/cli/LogsCommand.java
+++ b/fleet/src/main/java/cacheproxy/cli/LogsCommand.java
@@ -7,7 +7,7 @@
 import picocli.CommandLine.Parameters;
 
 /** {@code logs}. */
-@Command(name = "logs", description = "Shows the end of an instance's log.")
+@Command(name = "logs", description = "Shows the last part of an instance's log.")
 final class LogsCommand extends ToolCommand {
     @Mixin
     private AgentOptions options;
@@ -16,13 +16,13 @@
 
     @Option(
             names = {"-f", "--follow"},
-            description = "Goes on showing what is written.")
+            description = "Keeps showing new output.")
     private boolean follow;
 
     @Option(
             names = {"-c", "--bytes"},
             paramLabel = "N",
-            description = "So much of its end (16384).")
+            description = "Number of bytes to show from the end (default: 16384).")
     private int bytes = 16 << 10;
 
     @Parameters(paramLabel = "NAME")
--- a/fleet/src/main/java/cacheproxy/cli/MemberClient.java
+++ b/fleet/src/main/java/cacheproxy/cli/MemberClient.java
@@ -11,19 +11,19 @@
 /** Calls one member of the replicated state, over the socket in its folder. */
 record MemberClient(Path folder) {
     private static final long QUERY_TIMEOUT_MS = 3_000;
-    /** Longer than a member waits for the disks of others. */
-    private static final long ORDER_TIMEOUT_MS = 15_000;
+    /** Longer than a member waits for other members to write to disk. */
+    private static final long OPERATOR_COMMAND_TIMEOUT_MS = 15_000;
 
     String folderName() {
         return folder.getFileName().toString();
     }
 
-    /** Its own state and that of its copy. */
+    /** The state of the member and of its replica. */
     Map<String, Object> state() {
         return call(ControlCodec.request("state"), QUERY_TIMEOUT_MS);
     }
 
-    /** Its entries by key. */
+    /** The member's entries by key. */
     Map<String, Map<String, Object>> entries() {
         Map<String, Map<String, Object>> byKey = new TreeMap<>();
         Object entries = call(ControlCodec.request("entries"), QUERY_TIMEOUT_MS).get("entries");
@@ -33,14 +33,14 @@
         return byKey;
     }
 
-    /** Gives it an order; returns its reply, once the order is on as many disks as the settings ask. */
-    Map<String, Object> order(String subject, String verb, String who, String why) {
+    /** Submits an operator command; returns the reply once it is on as many disks as the settings require. */
+    Map<String, Object> operatorCommand(String subject, String verb, String who, String why) {
         Map<String, Object> request = ControlCodec.request("order");
         request.put("subject", subject);
         request.put("verb", verb);
         request.put("who", who);
         request.put("why", why);
-        return call(request, ORDER_TIMEOUT_MS);
+        return call(request, OPERATOR_COMMAND_TIMEOUT_MS);
     }
 
     private Map<String, Object> call(Map<String, Object> request, long timeoutMs) {
--- a/fleet/src/main/java/cacheproxy/cli/MemberOptions.java
+++ b/fleet/src/main/java/cacheproxy/cli/MemberOptions.java
@@ -5,18 +5,18 @@
 import java.util.List;
 import picocli.CommandLine.Option;
 
-/** Options of the commands on members of the replicated state. */
+/** Options of the commands that call members of the replicated state. */
 final class MemberOptions extends OutputOptions {
     @Option(
             names = {"-m", "--member"},
             paramLabel = "FOLDER",
             split = ",",
-            description = "A member's folder; several may be given.")
+            description = "A member's folder; may be repeated or comma-separated.")
     private List<Path> folders = new ArrayList<>();
 
     /**
-     * The members given; throws {@link CommandFailure} where there is none. The option itself is not required: picocli
-     * would ask for it before and after the name of a subcommand of {@code state}.
+     * The members given; throws {@link CommandFailure} if there is none. The option is not marked as required because
+     * picocli would then require it both before and after the name of a subcommand of {@code state}.
      */
     List<MemberClient> members() {
         if (folders.isEmpty()) {
--- a/fleet/src/main/java/cacheproxy/cli/OutputOptions.java
+++ b/fleet/src/main/java/cacheproxy/cli/OutputOptions.java
@@ -8,7 +8,7 @@
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Spec;
 
-/** The option {@code --output}, and what commands print with it. */
+/** The option {@code --output} and the printing of a command's output. */
 class OutputOptions {
     @Spec(Spec.Target.MIXEE)
     private CommandSpec spec;
@@ -16,13 +16,13 @@
     @Option(
             names = {"-o", "--output"},
             paramLabel = "FORM",
-            description = "table (the usual) or json.")
+            description = "table (default) or json.")
     private String output = "table";
 
-    /** Whether the output is JSON. Throws {@link CommandFailure} where the option has another value. */
+    /** Whether the output is JSON. Throws {@link CommandFailure} if the option has another value. */
     final boolean json() {
         if (!output.equals("table") && !output.equals("json")) {
-            throw new CommandFailure(ExitCode.USAGE, "--output: table or json, not " + output);
+            throw new CommandFailure(ExitCode.USAGE, "--output: expected table or json, got " + output);
         }
         return output.equals("json");
     }
--- a/fleet/src/main/java/cacheproxy/cli/ReloadCommand.java
+++ b/fleet/src/main/java/cacheproxy/cli/ReloadCommand.java
@@ -3,7 +3,7 @@
 import picocli.CommandLine.Command;
 
 /** {@code reload}. */
-@Command(name = "reload", description = "Has instances read their configuration again.")
+@Command(name = "reload", description = "Makes instances reload their configuration.")
 final class ReloadCommand extends InstanceCommand {
     ReloadCommand() {
         super(AgentOperation.RELOAD, InstanceWaiter.Goal.READY);
--- a/fleet/src/main/java/cacheproxy/cli/ReplyFields.java
+++ b/fleet/src/main/java/cacheproxy/cli/ReplyFields.java
@@ -8,12 +8,12 @@
 final class ReplyFields {
     private ReplyFields() {}
 
-    /** The list in a field; empty where it holds none. */
+    /** The list in a field; empty if it holds none. */
     static List<?> list(Object value) {
         return value instanceof List<?> list ? list : List.of();
     }
 
-    /** The objects of a list; elements of other types are left out. */
+    /** The objects of a list; elements of other types are skipped. */
     @SuppressWarnings("unchecked") // the JSON parser's objects have strings for keys
     static List<Map<String, Object>> objects(Object value) {
         List<Map<String, Object>> objects = new ArrayList<>();
@@ -29,18 +29,20 @@
         return objects(reply.get("instances")).stream().map(ListedInstance::new).toList();
     }
 
-    /** A number; throws {@link CommandFailure} that names the agent and the field where it is none. */
+    /**
+     * The number in a field; throws {@link CommandFailure} that names the agent and the field if it is not a number.
+     */
     static long number(AgentClient agent, Map<String, Object> reply, String field) {
         if (reply.get(field) instanceof Number number) {
             return number.longValue();
         }
         throw new CommandFailure(
                 ExitCode.UNREACHABLE,
-                "agent " + agent.name() + " gives an answer without a number " + field + ": "
+                "agent " + agent.name() + " sent a reply without a number in " + field + ": "
                         + TerminalText.shortened(reply.get(field)));
     }
 
-    /** Removes version, success and end mark, which are of no use outside the control channel. */
+    /** Removes the fields for version, success and end of reply, which matter only to the control channel. */
     static void removeProtocolFields(Map<String, Object> reply) {
         reply.keySet().removeAll(List.of("v", "ok", "end"));
     }
--- a/fleet/src/main/java/cacheproxy/cli/RestartCommand.java
+++ b/fleet/src/main/java/cacheproxy/cli/RestartCommand.java
@@ -3,7 +3,7 @@
 import picocli.CommandLine.Command;
 
 /** {@code restart}. */
-@Command(name = "restart", description = "Ends instances and starts them again, all at once.")
+@Command(name = "restart", description = "Restarts instances, all at once.")
 final class RestartCommand extends InstanceCommand {
     RestartCommand() {
         super(AgentOperation.RESTART, InstanceWaiter.Goal.READY);
--- a/fleet/src/main/java/cacheproxy/cli/RollingRestartCommand.java
+++ b/fleet/src/main/java/cacheproxy/cli/RollingRestartCommand.java
@@ -9,11 +9,11 @@
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Parameters;
 
-/** {@code rolling-restart}: the agent carries it out, the command shows its events. */
+/** {@code rolling-restart}: the agent performs the restart, the command shows its events. */
 @Command(
         name = "rolling-restart",
-        description = "Restarts instances a few at a time, each once those "
-                + "before are ready; stops at the first that fails. It goes on when this command is ended.")
+        description = "Restarts instances a few at a time, each after the previous "
+                + "ones are ready; stops at the first failure. It continues if this command is interrupted.")
 final class RollingRestartCommand extends ToolCommand {
     @Mixin
     private AgentOptions options;
@@ -21,10 +21,13 @@
     @Mixin
     private WaitOptions wait;
 
-    @Option(names = "--max-down", paramLabel = "N", description = "So many at a time (1).")
+    @Option(
+            names = "--max-down",
+            paramLabel = "N",
+            description = "Number of instances restarted at a time (default: 1).")
     private int maxDown = 1;
 
-    @Parameters(paramLabel = "NAME", description = "Which, in this order; all without.")
+    @Parameters(paramLabel = "NAME", description = "Instances, in order of restart (default: all).")
     private List<String> names = new ArrayList<>();
 
     @Override
@@ -42,7 +45,7 @@
             Map<String, Object> reply = agent.call(AgentOperation.EVENTS, "from", from);
             from = ReplyFields.number(agent, reply, "next");
             for (ListedEvent event : ListedEvent.of(reply)) {
-                options.printProgress(event.name() + " " + event.what());
+                options.printProgress(event.name() + " " + event.description());
                 ExitCode outcome = event.rollingRestartOutcome();
                 if (outcome != null) {
                     return outcome;
@@ -50,7 +53,7 @@
             }
             Thread.sleep(InstanceWaiter.POLL_INTERVAL_MS);
         }
-        options.printProgress("cacheproxyctl: it goes on; the time given is over");
-        return ExitCode.TIME_OUT;
+        options.printProgress("cacheproxyctl: timed out; the rolling restart continues");
+        return ExitCode.TIMED_OUT;
     }
 }
--- a/fleet/src/main/java/cacheproxy/cli/SiteChange.java
+++ b/fleet/src/main/java/cacheproxy/cli/SiteChange.java
@@ -3,7 +3,7 @@
 import java.util.List;
 import java.util.Map;
 
-/** What applying a site file changes, as the agent reports it. */
+/** The changes that applying a site file makes, as the agent reports them. */
 record SiteChange(Map<String, Object> reply) {
     private static final List<String> CHANGES = List.of("added", "removed", "reload", "needRestart");
 
--- a/fleet/src/main/java/cacheproxy/cli/SiteSource.java
+++ b/fleet/src/main/java/cacheproxy/cli/SiteSource.java
@@ -6,23 +6,20 @@
 import java.nio.file.NoSuchFileException;
 import java.nio.file.Path;
 
-/** Reads the text of a site file that a command names. */
+/** Reads the text of the site file given to a command. */
 final class SiteSource {
     private static final Path STANDARD_INPUT = Path.of("-");
 
     private SiteSource() {}
 
-    /**
-     * The file's text, or that of standard input for {@code -}. Throws {@link CommandFailure} where it is not to be
-     * had.
-     */
+    /** The file's text, or that of standard input for {@code -}. Throws {@link CommandFailure} if it cannot be read. */
     static String read(Path file) {
         try {
             return file.equals(STANDARD_INPUT)
                     ? new String(System.in.readAllBytes(), StandardCharsets.UTF_8)
                     : Files.readString(file);
         } catch (NoSuchFileException e) {
-            throw new CommandFailure(ExitCode.REFUSED, file + " is not there");
+            throw new CommandFailure(ExitCode.REFUSED, file + " does not exist");
         } catch (IOException e) {
             throw new CommandFailure(ExitCode.REFUSED, file + " cannot be read: " + e.getMessage());
         }
--- a/fleet/src/main/java/cacheproxy/cli/StateCommand.java
+++ b/fleet/src/main/java/cacheproxy/cli/StateCommand.java
@@ -8,11 +8,12 @@
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Mixin;
 
-/** {@code state}: compares the copies that members hold. */
+/** {@code state}: compares the replicas of the members. */
 @Command(
         name = "state",
         mixinStandardHelpOptions = true,
-        description = "Who is behind, by how much and since when; whose copies differ; orders that contradict.",
+        description =
+                "Shows which members lag behind, by how much and since when, whether replicas differ, and conflicting commands.",
         subcommands = {StateDiffCommand.class, StateShowCommand.class})
 final class StateCommand extends ToolCommand {
     @Mixin
@@ -48,7 +49,7 @@
         if (unreachable) {
             return ExitCode.UNREACHABLE;
         }
-        return allCurrent && equal ? ExitCode.OK : ExitCode.NOT_AS_WANTED;
+        return allCurrent && equal ? ExitCode.OK : ExitCode.NOT_IN_DESIRED_STATE;
     }
 
     private static Map<String, Object> unreachable(MemberClient member, CommandFailure failure) {
@@ -56,11 +57,13 @@
                 Map.of("name", member.folderName(), "state", "UNREACHABLE", "error", failure.getMessage()));
     }
 
-    private static String summary(boolean equal, int differentCopies) {
+    private static String summary(boolean equal, int distinctReplicas) {
         if (equal) {
-            return "all copies are equal";
+            return "all replicas are equal";
         }
-        return differentCopies > 1 ? "copies differ: cacheproxyctl state diff -m A -m B says where" : "not all answer";
+        return distinctReplicas > 1
+                ? "replicas differ: run cacheproxyctl state diff -m A -m B"
+                : "not all members are reachable";
     }
 
     private void printTable(List<Map<String, Object>> states) {
@@ -81,8 +84,8 @@
             table.row(
                     state.get("name"),
                     state.get("state"),
-                    TextTable.span(state.get("sinceMs")),
-                    TextTable.span(state.get("awayMs")),
+                    TextTable.formatDuration(state.get("sinceMs")),
+                    TextTable.formatDuration(state.get("awayMs")),
                     state.get("entries"),
                     state.get("contradictions"),
                     state.get("waiting"),
--- a/fleet/src/main/java/cacheproxy/cli/StateDiffCommand.java
+++ b/fleet/src/main/java/cacheproxy/cli/StateDiffCommand.java
@@ -9,7 +9,10 @@
 import picocli.CommandLine.Mixin;
 
 /** {@code state diff}. */
-@Command(name = "diff", mixinStandardHelpOptions = true, description = "Where the copies of two members differ.")
+@Command(
+        name = "diff",
+        mixinStandardHelpOptions = true,
+        description = "Shows where the replicas of two members differ.")
 final class StateDiffCommand extends ToolCommand {
     @Mixin
     private MemberOptions options;
@@ -18,7 +21,7 @@
     ExitCode run() {
         List<MemberClient> members = options.members();
         if (members.size() != 2) {
-            throw new CommandFailure(ExitCode.USAGE, "--member: two of them, not " + members.size());
+            throw new CommandFailure(ExitCode.USAGE, "--member: expected two members, got " + members.size());
         }
         List<Map<String, Object>> differences =
                 differences(members.get(0).entries(), members.get(1).entries());
@@ -30,7 +33,7 @@
             differences.forEach(row -> table.row(row.get("key"), row.get("a"), row.get("b")));
             table.print(options.out());
         }
-        return differences.isEmpty() ? ExitCode.OK : ExitCode.NOT_AS_WANTED;
+        return differences.isEmpty() ? ExitCode.OK : ExitCode.NOT_IN_DESIRED_STATE;
     }
 
     private static List<Map<String, Object>> differences(
--- a/fleet/src/main/java/cacheproxy/cli/StateShowCommand.java
+++ b/fleet/src/main/java/cacheproxy/cli/StateShowCommand.java
@@ -10,41 +10,42 @@
 @Command(
         name = "show",
         mixinStandardHelpOptions = true,
-        description = "What a member holds; orders with who gave them, when and why.")
+        description = "Shows the entries of a member, with the operator commands, who submitted them and why.")
 final class StateShowCommand extends ToolCommand {
     @Mixin
     private MemberOptions options;
 
     @Override
     ExitCode run() {
-        boolean contradict = false;
+        boolean conflict = false;
         for (MemberClient member : options.members()) {
             Map<String, Map<String, Object>> entries = member.entries();
             if (options.json()) {
                 options.printJson(Map.of("member", member.folderName(), "entries", List.copyOf(entries.values())));
             } else {
-                contradict |= printTable(entries);
+                conflict |= printTable(entries);
             }
         }
-        return contradict ? ExitCode.NOT_AS_WANTED : ExitCode.OK;
+        return conflict ? ExitCode.NOT_IN_DESIRED_STATE : ExitCode.OK;
     }
 
-    /** Returns whether an entry has orders that contradict each other. */
+    /** Returns whether an entry has conflicting operator commands. */
     private boolean printTable(Map<String, Map<String, Object>> entries) {
-        boolean anyContradict = false;
+        boolean anyConflict = false;
         TextTable table = new TextTable().row("KEY", "COUNTS", "ORDERS");
         for (Map<String, Object> entry : entries.values()) {
-            boolean contradict = Boolean.TRUE.equals(entry.get("contradict"));
-            anyContradict |= contradict;
-            table.row(entry.get("key"), entry.get("value"), (contradict ? "CONTRADICT: " : "") + orders(entry));
+            boolean conflict = Boolean.TRUE.equals(entry.get("contradict"));
+            anyConflict |= conflict;
+            table.row(entry.get("key"), entry.get("value"), (conflict ? "CONTRADICT: " : "") + operatorCommands(entry));
         }
         table.print(options.out());
-        return anyContradict;
+        return anyConflict;
     }
 
-    private static String orders(Map<String, Object> entry) {
+    private static String operatorCommands(Map<String, Object> entry) {
         return ReplyFields.objects(entry.get("standing")).stream()
-                .map(order -> order.get("verb") + " by " + order.get("who") + " (" + order.get("why") + ")")
+                .map(operatorCommand -> operatorCommand.get("verb") + " by " + operatorCommand.get("who") + " ("
+                        + operatorCommand.get("why") + ")")
                 .collect(Collectors.joining("; "));
     }
 }
--- a/fleet/src/main/java/cacheproxy/cli/StatusCommand.java
+++ b/fleet/src/main/java/cacheproxy/cli/StatusCommand.java
@@ -7,12 +7,12 @@
 import picocli.CommandLine.Parameters;
 
 /** {@code status}. */
-@Command(name = "status", description = "Shows instances with all that they tell of themselves.")
+@Command(name = "status", description = "Shows instances with the status that they report.")
 final class StatusCommand extends ToolCommand {
     @Mixin
     private AgentOptions options;
 
-    @Parameters(paramLabel = "NAME", description = "Which; all without.")
+    @Parameters(paramLabel = "NAME", description = "Instances (default: all).")
     private List<String> names = new ArrayList<>();
 
     @Override
--- a/fleet/src/main/java/cacheproxy/cli/StopCommand.java
+++ b/fleet/src/main/java/cacheproxy/cli/StopCommand.java
@@ -3,7 +3,7 @@
 import picocli.CommandLine.Command;
 
 /** {@code stop}. */
-@Command(name = "stop", description = "Has instances end, and stay ended.")
+@Command(name = "stop", description = "Stops instances until they are started again.")
 final class StopCommand extends InstanceCommand {
     StopCommand() {
         super(AgentOperation.STOP, InstanceWaiter.Goal.ENDED);
--- a/fleet/src/main/java/cacheproxy/cli/TextTable.java
+++ b/fleet/src/main/java/cacheproxy/cli/TextTable.java
@@ -4,7 +4,7 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** Columns for people. */
+/** Formats rows as aligned columns. */
 final class TextTable {
     private final List<String[]> rows = new ArrayList<>();
 
@@ -37,8 +37,8 @@
         }
     }
 
-    /** How long, in words as short as can be. */
-    static String span(Object ms) {
+    /** Formats a duration with the largest fitting unit. */
+    static String formatDuration(Object ms) {
         if (!(ms instanceof Number n)) {
             return "";
         }
--- a/fleet/src/main/java/cacheproxy/cli/ToolCommand.java
+++ b/fleet/src/main/java/cacheproxy/cli/ToolCommand.java
@@ -4,7 +4,7 @@
 
 /** A command of the tool, as picocli calls it. */
 abstract class ToolCommand implements Callable<Integer> {
-    /** Carries the command out. Throws {@link CommandFailure} where it cannot. */
+    /** Runs the command. Throws {@link CommandFailure} if it fails. */
     abstract ExitCode run() throws InterruptedException;
 
     @Override
--- a/fleet/src/main/java/cacheproxy/cli/UpCommand.java
+++ b/fleet/src/main/java/cacheproxy/cli/UpCommand.java
@@ -11,8 +11,8 @@
 /** {@code up}. */
 @Command(
         name = "up",
-        description = "Starts an agent here if none runs, and a site: the local example "
-                + "with three proxies, three stand-in cache nodes and discovery, or the one of a file.")
+        description = "Starts a local agent if none runs, and a site: the local example "
+                + "(three proxies, three stand-in cache nodes and discovery) or the one in FILE.")
 final class UpCommand extends ToolCommand {
     @Mixin
     private AgentOptions options;
@@ -20,7 +20,7 @@
     @Mixin
     private WaitOptions wait;
 
-    @Parameters(paramLabel = "FILE", arity = "0..1", description = "A site's file; without, the example.")
+    @Parameters(paramLabel = "FILE", arity = "0..1", description = "Site file (default: the local example).")
     private Path file;
 
     @Override
@@ -33,7 +33,7 @@
         List<String> names =
                 site.instances().stream().map(DeclaredInstance::name).toList();
         agent.call(AgentOperation.START, "names", names);
-        ExitCode code = new InstanceWaiter(options, agent, names, InstanceWaiter.Goal.READY).awaitIfAsked(wait);
+        ExitCode code = new InstanceWaiter(options, agent, names, InstanceWaiter.Goal.READY).awaitUnlessDisabled(wait);
         if (code == ExitCode.OK) {
             printAddresses(site);
         }
--- a/fleet/src/main/java/cacheproxy/cli/WaitCommand.java
+++ b/fleet/src/main/java/cacheproxy/cli/WaitCommand.java
@@ -9,7 +9,7 @@
 import picocli.CommandLine.Parameters;
 
 /** {@code wait}. */
-@Command(name = "wait", description = "Waits until instances are as wanted.")
+@Command(name = "wait", description = "Waits until instances are in the given state.")
 final class WaitCommand extends ToolCommand {
     @Mixin
     private AgentOptions options;
@@ -17,10 +17,10 @@
     @Mixin
     private WaitOptions wait;
 
-    @Option(names = "--for", paramLabel = "STATE", description = "ready (the usual) or stopped.")
+    @Option(names = "--for", paramLabel = "STATE", description = "ready (default) or stopped.")
     private String state = "ready";
 
-    @Parameters(paramLabel = "NAME", description = "Which; all without.")
+    @Parameters(paramLabel = "NAME", description = "Instances (default: all).")
     private List<String> names = new ArrayList<>();
 
     @Override
@@ -40,7 +40,7 @@
         return switch (state) {
             case "ready" -> InstanceWaiter.Goal.READY;
             case "stopped" -> InstanceWaiter.Goal.ENDED;
-            default -> throw new CommandFailure(ExitCode.USAGE, "--for: ready or stopped, not " + state);
+            default -> throw new CommandFailure(ExitCode.USAGE, "--for: expected ready or stopped, got " + state);
         };
     }
 }
--- a/fleet/src/main/java/cacheproxy/cli/WaitOptions.java
+++ b/fleet/src/main/java/cacheproxy/cli/WaitOptions.java
@@ -2,11 +2,11 @@
 
 import picocli.CommandLine.Option;
 
-/** How long a command waits for its effect. */
+/** Whether and how long a command waits until it took effect. */
 final class WaitOptions {
-    @Option(names = "--timeout", paramLabel = "SECONDS", description = "Waits so long at most (60).")
+    @Option(names = "--timeout", paramLabel = "SECONDS", description = "Maximum time to wait (default: 60).")
     int timeoutSeconds = 60;
 
-    @Option(names = "--no-wait", description = "Does not wait until it is done.")
+    @Option(names = "--no-wait", description = "Returns without waiting for the result.")
     boolean noWait;
 }
--- a/fleet/src/test/java/cacheproxy/cli/AgentSelectionTest.java
+++ b/fleet/src/test/java/cacheproxy/cli/AgentSelectionTest.java
@@ -10,7 +10,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** Which agents a command is for when none is given, with the names that earlier versions used. */
+/** Tests the default agents of a command, including the names that earlier versions used. */
 class AgentSelectionTest {
     private static final String CURRENT = "CACHEPROXY_AGENTS";
     private static final String EARLIER = "HATCH_AGENTS";
@@ -24,7 +24,7 @@
     }
 
     @Test
-    void theEarlierVariableIsReadWhereTheCurrentOneIsNotSet() {
+    void readsEarlierVariableIfCurrentOneIsNotSet() {
         assertEquals(List.of("a=/x", "b=/y"), selected(Map.of(CURRENT, "a=/x,b=/y")));
         assertEquals(List.of("a=/x", "b=/y"), selected(Map.of(EARLIER, "a=/x,b=/y")));
         assertEquals(List.of("a=/x"), selected(Map.of(CURRENT, " ", EARLIER, "a=/x")));
@@ -33,7 +33,7 @@
     }
 
     @Test
-    void theEarlierFolderIsUsedWhereTheCurrentOneDoesNotExist() throws IOException {
+    void usesEarlierFolderIfCurrentOneDoesNotExist() throws IOException {
         Path earlier = Files.createDirectory(here.resolve(".hatch"));
         assertEquals(List.of("local=" + earlier), selected(Map.of()));
         assertEquals(List.of("a=/x"), selected(Map.of(EARLIER, "a=/x")));
@@ -43,7 +43,7 @@
     }
 
     @Test
-    void theEarlierDefaultFolderIsUsedWhereTheCurrentOneDoesNotExist() throws IOException {
+    void usesEarlierDefaultFolderIfCurrentOneDoesNotExist() throws IOException {
         Path current = here.resolve("cacheproxy-eve");
         Path earlier = here.resolve("hatch-eve");
         assertEquals(current, AgentSelection.defaultFolder(here, "eve"));
--- a/fleet/src/test/java/cacheproxy/cli/CacheproxyctlCommandTest.java
+++ b/fleet/src/test/java/cacheproxy/cli/CacheproxyctlCommandTest.java
@@ -39,8 +39,8 @@
 import org.junit.jupiter.api.Timeout;
 
 /**
- * Every command against an agent that says what the test wants: codes, JSON by shape, words for failures. Danger: a
- * script that takes 0 for done, and a person who takes silence for stopped.
+ * Runs every command against a scripted agent and checks exit codes, JSON fields and error messages. Guards against a
+ * failed command that exits with 0, and against an unreachable agent whose instances are shown as stopped.
  */
 @Timeout(60)
 class CacheproxyctlCommandTest {
@@ -63,15 +63,15 @@
             "completion",
             "up",
             "down");
-    private static final String EVIL = "\u001b[2Jx\u009b31m\r\u0007\u007f\u202eend";
+    private static final String CONTROL_CHARACTERS = "\u001b[2Jx\u009b31m\r\u0007\u007f\u202eend";
 
     private final List<AutoCloseable> opened = new ArrayList<>();
     private final String home = System.getProperty("user.home");
     private Path folder;
     private Path file;
 
-    /** What a command came to. */
-    private record Done(int code, String out, String err) {
+    /** The exit code and output of a command. */
+    private record Result(int code, String out, String err) {
         Map<String, Object> json() {
             Map<String, Object> o = ControlCodec.decode(out);
             assertNotNull(o, out);
@@ -84,12 +84,12 @@
             return objects(json().get("agents"));
         }
 
-        Done code(int wanted) {
+        Result code(int wanted) {
             assertEquals(wanted, code, this::toString);
             return this;
         }
 
-        Done says(String... words) {
+        Result says(String... words) {
             for (String w : words) {
                 assertTrue(out.contains(w) || err.contains(w), () -> "without '" + w + "': " + this);
             }
@@ -106,7 +106,7 @@
     void folder() throws IOException {
         folder = Files.createTempDirectory("ctl"); // with mode 700
         file = Files.writeString(folder.resolve("site.json"), SITE);
-        System.setProperty("user.home", folder.toString()); // what it remembers is put there
+        System.setProperty("user.home", folder.toString()); // the tool caches listings below it
     }
 
     @AfterEach
@@ -132,18 +132,18 @@
         return agent("a").lists(List.of(instance("n0", "ready"), instance("n1", "ready")));
     }
 
-    private static Done run(Object... args) {
+    private static Result run(Object... args) {
         StringWriter out = new StringWriter();
         StringWriter err = new StringWriter();
         int code = CacheproxyctlCommand.run(
                 new PrintWriter(out),
                 new PrintWriter(err),
                 Stream.of(args).map(String::valueOf).toArray(String[]::new));
-        return new Done(code, out.toString(), err.toString());
+        return new Result(code, out.toString(), err.toString());
     }
 
     /** A command for the agent named a. */
-    private Done ctl(Object... args) {
+    private Result ctl(Object... args) {
         return run(Stream.concat(Stream.of(args), Stream.of("-a", folder.resolve("a")))
                 .toArray());
     }
@@ -165,35 +165,35 @@
         return b;
     }
 
-    private Done done(ProcessBuilder b) throws Exception {
+    private Result done(ProcessBuilder b) throws Exception {
         File err = folder.resolve("err").toFile();
         Process p = b.redirectError(err).start();
         opened.add(p::destroyForcibly);
         try (InputStream in = p.getInputStream()) {
             String out = new String(in.readAllBytes(), StandardCharsets.UTF_8);
-            return new Done(p.waitFor(), out, Files.readString(err.toPath()));
+            return new Result(p.waitFor(), out, Files.readString(err.toPath()));
         }
     }
 
     // ---- without an agent ----
 
     @Test
-    void checkSaysWhetherAFileIsAsItShouldBe() throws Exception {
-        run("check", file).code(0).says("s: 2 instances, as they should be");
-        run("check", Path.of("..", "deploy", "local-site.json")).code(0).says("as they should be");
+    void checkReportsWhetherSiteFileIsValid() throws Exception {
+        run("check", file).code(0).says("s: 2 instances, valid");
+        run("check", Path.of("..", "deploy", "local-site.json")).code(0).says("instances, valid");
         assertEquals(
                 Map.of("site", "s", "instances", 2),
                 run("check", "-o", "json", file).code(0).json());
         Files.writeString(file, SITE.replace("\"count\"", "\"cuont\""));
-        Done bad = run("check", "-o", "json", file).code(4);
+        Result bad = run("check", "-o", "json", file).code(4);
         bad.says("cacheproxyctl: instances[0].cuont is not known; meant is perhaps count");
         assertEquals("", bad.out());
         assertEquals(
-                "cacheproxyctl: " + folder.resolve("none") + " is not there\n",
+                "cacheproxyctl: " + folder.resolve("none") + " does not exist\n",
                 run("check", folder.resolve("none")).code(4).err());
         run("check", folder).code(4).says(folder + " cannot be read: ");
         run("check").code(2).says("FILE");
-        run("check", "-o", "yaml", file).code(2).says("--output: table or json, not yaml");
+        run("check", "-o", "yaml", file).code(2).says("--output: expected table or json, got yaml");
     }
 
     @Test
@@ -203,28 +203,28 @@
     }
 
     @Test
-    void helpNamesEveryCommandAndExitCode() {
-        Done help = run("--help").code(0);
+    void helpListsEveryCommandAndExitCode() {
+        Result help = run("--help").code(0);
         help.says(COMMANDS.toArray(String[]::new));
         help.says(
                 "Exit codes:",
                 "0   done",
-                "1   done, and something is not as wanted",
-                "2   wrong usage",
-                "3   an agent does not answer",
-                "4   refused, nothing is changed",
-                "5   the time given is over");
+                "1   done, but something is not in its desired state",
+                "2   invalid usage",
+                "3   an agent is unreachable",
+                "4   refused, nothing was changed",
+                "5   timed out");
         run("--version").code(0).says("cacheproxyctl 0.1.0");
         run().code(2).says("Usage: cacheproxyctl");
         run("lits").code(2).says("lits");
         run("list", "--colour").code(2).says("--colour");
-        run("list", "-a", "/").code(2).says("an agent's state folder is needed, not '/'");
-        run("list", "-a", "x=").code(2).says("an agent's state folder is needed, not 'x='");
+        run("list", "-a", "/").code(2).says("expected an agent's state folder, got '/'");
+        run("list", "-a", "x=").code(2).says("expected an agent's state folder, got 'x='");
     }
 
     @Test
-    void completionIsAScriptThatKnowsEveryCommand() throws Exception {
-        Done done = run("completion").code(0);
+    void completionScriptContainsEveryCommand() throws Exception {
+        Result done = run("completion").code(0);
         done.says("complete -F", "--max-down", "--no-wait");
         done.says(COMMANDS.toArray(String[]::new));
         Path script = Files.writeString(folder.resolve("script"), done.out());
@@ -233,22 +233,22 @@
         assertEquals(0, p.waitFor());
     }
 
-    // ---- what is ----
+    // ---- list and status ----
 
     @Test
-    void listShowsEachInstanceAndTellsByItsCodeWhetherAllIsAsWanted() {
+    void listShowsEachInstanceAndExitsWithZeroIfAllAreInDesiredState() {
         ScriptedAgent a = agent("a")
                 .lists(List.of(
                         instance("n0", "ready", "pid", 77, "listen", "127.0.0.1:1"),
                         instance("n1", "stopped", "wanted", false, "exitCode", "0")));
-        Done table = ctl("list").code(0);
+        Result table = ctl("list").code(0);
         List<String> lines =
                 table.out().lines().map(l -> l.replaceAll(" {2,}", "|")).toList();
         assertEquals(
                 List.of(
                         "AGENT|NAME|STATE|FOR|PID|STARTS|LISTEN|REMARK",
                         "a|n0|ready|1500 ms|77|1|127.0.0.1:1",
-                        "a|n1|stopped|1500 ms|1|not wanted; exit code 0"),
+                        "a|n1|stopped|1500 ms|1|not declared to run; exit code 0"),
                 lines);
         assertEquals("", table.err());
         Map<String, Object> told = ctl("list", "-o", "json").code(0).agents().get(0);
@@ -276,7 +276,7 @@
     }
 
     @Test
-    void listEndsWithOneWhereSomethingIsNotAsWanted() {
+    void listExitsWithOneIfAnInstanceIsNotInDesiredState() {
         ScriptedAgent a = agent("a");
         for (String state : List.of(
                 "starting",
@@ -296,26 +296,26 @@
         }
         for (String state : List.of("ready", "hung", "stopping", "adopted")) {
             a.lists(List.of(instance("n0", state, "wanted", false)));
-            ctl("list").code(1).says(state, "not wanted");
+            ctl("list").code(1).says(state, "not declared to run");
         }
         a.lists(List.of(
                 instance("n0", "ready", "refused", "tenants: no", "trouble", "configuration refused: tenants: no")));
         ctl("list").code(1).says("configuration refused: tenants: no");
         a.lists(List.of(instance("n0", "ready", "needRestart", true)));
-        ctl("list").code(0).says("needs a restart to be as declared");
+        ctl("list").code(0).says("needs a restart to apply the declared settings");
         Map<String, Object> more = listed(List.of());
         more.put("trouble", "the journal cannot be written");
         more.put("rolling", "1 of 3");
-        a.says("list", more);
+        a.replies("list", more);
         ctl("list").code(0).says("trouble", "the journal cannot be written", "rolling", "1 of 3");
     }
 
     @Test
-    void statusShowsWhatInstancesTell() {
+    void statusShowsFieldsReportedByInstances() {
         Map<String, Object> told = new LinkedHashMap<>(Map.of("v", 1, "ok", true, "clients", 12));
-        ScriptedAgent a = agent().says(
+        ScriptedAgent a = agent().replies(
                         "status", Map.of("site", "s", "instances", List.of(instance("n0", "ready", "told", told))));
-        Done table = ctl("status", "n0").code(0);
+        Result table = ctl("status", "n0").code(0);
         table.says("\nn0:\n", "\n  clients: 12\n");
         assertFalse(table.out().contains("ok:"), table.out());
         assertEquals(List.of("n0"), a.last("status").get("names"));
@@ -332,7 +332,7 @@
     // ---- several agents ----
 
     @Test
-    void severalAgentsAreSeenInOnePlace() {
+    void listShowsInstancesOfSeveralAgents() {
         ScriptedAgent a = agent();
         ScriptedAgent b = agent("b").lists(List.of(instance("n0", "ready")));
         Object[] both = {"list", "-o", "json", "-a", "x=" + a.folder, "-a", b.folder};
@@ -343,22 +343,22 @@
                 agents.stream().map(o -> objects(o.get("instances")).size()).toList());
 
         b.refuses("list", "too many connections");
-        Done done = run("list", "-a", "x=" + a.folder, "-a", b.folder).code(4);
+        Result done = run("list", "-a", "x=" + a.folder, "-a", b.folder).code(4);
         done.says("x      n0    ready", "b      -     refused", "agent b: too many connections");
         b.close();
         run("list", "-a", "x=" + a.folder, "-a", b.folder).code(3).says("x      n0    ready", "unreachable");
     }
 
     @Test
-    void aNameThatOneOfThemKnowsIsShown() {
-        ScriptedAgent a = agent().says("status", Map.of("site", "s", "instances", List.of(instance("n0", "ready"))));
+    void statusShowsInstanceKnownToOnlyOneAgent() {
+        ScriptedAgent a = agent().replies("status", Map.of("site", "s", "instances", List.of(instance("n0", "ready"))));
         ScriptedAgent b = agent("b").refuses("status", "no instance is named n0");
-        Done done = run("status", "n0", "-a", a.folder, "-a", b.folder).code(4);
+        Result done = run("status", "n0", "-a", a.folder, "-a", b.folder).code(4);
         done.says("a      n0    ready", "agent b: no instance is named n0");
     }
 
     @Test
-    void whatChangesSomethingIsForOneAgent() {
+    void commandsForOneAgentRejectSeveralAgents() {
         ScriptedAgent a = agent();
         ScriptedAgent b = agent("b").lists(List.of());
         for (List<Object> args : List.<List<Object>>of(
@@ -371,13 +371,13 @@
                 List.of("events"))) {
             List<Object> both = new ArrayList<>(args);
             both.addAll(List.of("-a", a.folder, "-a", b.folder));
-            run(both.toArray()).code(2).says("several agents: say which with --agent");
+            run(both.toArray()).code(2).says("several agents selected: choose one with --agent");
         }
         assertEquals(List.of(), a.ops());
     }
 
     @Test
-    void agentsComeFromTheEnvironment() throws Exception {
+    void readsAgentsFromEnvironment() throws Exception {
         agent();
         agent("b").lists(List.of());
         ProcessBuilder two = child("list", "-o", "json");
@@ -392,61 +392,61 @@
         both.environment().put("CACHEPROXY_AGENTS", "y=b");
         agents = done(both).code(0).agents();
         assertEquals(List.of("y"), agents.stream().map(o -> o.get("agent")).toList());
-        done(child("list")).code(3).says("local", "unreachable", "nothing is known of its instances");
+        done(child("list")).code(3).says("local", "unreachable", "its instances are unknown");
     }
 
-    // ---- one that does not answer ----
+    // ---- unreachable agents ----
 
     @Test
-    void oneThatDoesNotAnswerIsShownWithTheAgeOfWhatIsKnown() throws Exception {
+    void listShowsLastListingAndItsAgeForUnreachableAgent() throws Exception {
         ScriptedAgent a = agent("a").lists(List.of(instance("n0", "ready", "pid", 77)));
         done(child("list", "-a", "a")).code(0);
         a.close();
-        Done table = done(child("list", "-a", "a")).code(3);
-        table.says("unreachable", "below: as it said ", " ago", "unknown (ready)");
+        Result table = done(child("list", "-a", "a")).code(3);
+        table.says("unreachable", "below: last listing, ", " ago", "unknown (ready)");
         assertFalse(table.out().contains("stopped"), table.out());
         Map<String, Object> told =
                 done(child("list", "-a", "a", "-o", "json")).code(3).agents().get(0);
         assertEquals(false, told.get("reachable"));
         assertTrue(((Number) told.get("ageMs")).longValue() > 0, told.toString());
         String error = String.valueOf(told.get("error"));
-        assertTrue(error.startsWith("agent a is not reached at "), error);
+        assertTrue(error.startsWith("agent a cannot be reached at "), error);
         assertEquals("ready", objects(told.get("instances")).get(0).get("state"));
 
         Path kept = folder.resolve("cache").resolve("cacheproxyctl");
         Path earlier = folder.resolve("cache").resolve("hatchctl");
         Files.move(kept, earlier);
-        done(child("list", "-a", "a")).code(3).says("unreachable", "below: as it said ", "unknown (ready)");
+        done(child("list", "-a", "a")).code(3).says("unreachable", "below: last listing, ", "unknown (ready)");
         Files.move(earlier, kept);
         try (Stream<Path> all = Files.list(kept)) {
             for (Path p : all.toList()) {
                 Files.writeString(p, "{\"instances\":"); // torn
             }
         }
-        done(child("list", "-a", "a")).code(3).says("unreachable", "nothing is known of its instances");
+        done(child("list", "-a", "a")).code(3).says("unreachable", "its instances are unknown");
         ProcessBuilder empty = child("list", "-a", "a");
         empty.environment().put("XDG_CACHE_HOME", "");
         empty.environment().put("JDK_JAVA_OPTIONS", "-Duser.home=" + folder);
         done(empty).code(3);
-        assertFalse(Files.exists(folder.resolve("cacheproxyctl")), "an empty variable is one that is not set");
+        assertFalse(Files.exists(folder.resolve("cacheproxyctl")), "an empty XDG_CACHE_HOME must count as not set");
     }
 
     @Test
-    void whatAnAgentSaysOfItselfDoesNotMakeItAnother() {
+    void replyFieldsDoNotOverrideAgentNameOrReachability() {
         Map<String, Object> told = listed(List.of(instance("n0", "ready")));
         told.put("agent", "b");
         told.put("reachable", true);
-        ScriptedAgent a = agent("a").says("list", told);
+        ScriptedAgent a = agent("a").replies("list", told);
         ctl("list").code(0).says("a      n0");
         a.close();
-        Done done = ctl("list").code(3).says("unreachable", "unknown (ready)");
+        Result done = ctl("list").code(3).says("unreachable", "unknown (ready)");
         assertFalse(done.out().contains("\nb "), done.out());
     }
 
     @Test
-    void eachOtherCommandSaysThatItIsNotReached() {
+    void everyOtherCommandReportsUnreachableAgent() {
         for (List<Object> args : commands()) {
-            Done done = ctl(args.toArray()).code(3);
+            Result done = ctl(args.toArray()).code(3);
             done.says("agent a");
             assertEquals("", done.out());
         }
@@ -468,7 +468,7 @@
                 List.of("wait"));
     }
 
-    /** Answers each connection with these bytes, and ends it unless it is to hang. */
+    /** Sends these bytes on each connection, and closes it unless {@code hang} is set. */
     private void raw(String bytes, boolean hang) throws IOException {
         Path at = Files.createDirectories(folder.resolve("a")).resolve("agent.sock");
         Files.deleteIfExists(at);
@@ -502,33 +502,33 @@
     }
 
     @Test
-    void nonsenseIsNoAnswer() throws IOException {
+    void reportsMalformedReply() throws IOException {
         Map<String, String> each = new LinkedHashMap<>();
         each.put("", "the other side has ended the connection");
         each.put("{\"v\":1,\"ok\":tr", "the other side has ended the connection");
         each.put("HTTP/1.1 400 Bad Request\r\n", "a reply that is no JSON object");
         each.put("[1,2]\n", "a reply that is no JSON object");
         each.put("null\n", "a reply that is no JSON object");
-        each.put("{}\n", "an answer that makes no sense");
-        each.put("{\"v\":1,\"ok\":true,\"end\":true}\n", "an answer that makes no sense");
-        each.put("{\"v\":1,\"ok\":\"yes\",\"instances\":[],\"end\":true}\n", "an answer that makes no sense");
+        each.put("{}\n", "sent a malformed reply");
+        each.put("{\"v\":1,\"ok\":true,\"end\":true}\n", "sent a malformed reply");
+        each.put("{\"v\":1,\"ok\":\"yes\",\"instances\":[],\"end\":true}\n", "sent a malformed reply");
         each.put(
                 "{\"v\":1,\"ok\":true,\"instances\":7,\"events\":{},\"results\":1,\"unchanged\":\"\","
                         + "\"text\":9,\"end\":true}\n",
-                "an answer that makes no sense");
+                "sent a malformed reply");
         for (Map.Entry<String, String> e : each.entrySet()) {
             raw(e.getKey(), false);
             for (List<Object> args : commands()) {
                 ctl(args.toArray()).code(3).says("cacheproxyctl: agent a", e.getValue());
             }
-            Done list = ctl("list", "-o", "json").code(3);
+            Result list = ctl("list", "-o", "json").code(3);
             assertEquals(false, list.agents().get(0).get("reachable"));
             list.says(e.getValue());
         }
     }
 
     @Test
-    void wrongThingsInAnAnswerAreNoFault() throws IOException {
+    void handlesReplyFieldsOfWrongType() throws IOException {
         raw(
                 "{\"v\":1,\"ok\":true,\"instances\":[7,{\"name\":null,\"start\":\"x\"}],\"events\":[1,{}],"
                         + "\"results\":{},\"unchanged\":0,\"text\":\"t\",\"rolling\":\"r\",\"end\":true}\n",
@@ -536,22 +536,22 @@
         ctl("list").code(1);
         ctl("status").code(1);
         ctl("events").code(0).says("null");
-        ctl("logs", "n0").code(3).says("an answer without a number next");
-        ctl("rolling-restart").code(3).says("an answer without a number next");
-        ctl("start", "n0").code(3).says("an answer without a number start");
+        ctl("logs", "n0").code(3).says("sent a reply without a number in next");
+        ctl("rolling-restart").code(3).says("sent a reply without a number in next");
+        ctl("start", "n0").code(3).says("sent a reply without a number in start");
     }
 
     @Test
-    void oneThatSaysNothingIsGivenFiveSeconds() throws IOException {
+    void silentAgentTimesOutAfterFiveSeconds() throws IOException {
         raw("", true);
         long begin = System.nanoTime();
-        Done done = ctl("list").code(3).says("unreachable", "nothing is known of its instances");
+        Result done = ctl("list").code(3).says("unreachable", "its instances are unknown");
         assertFalse(done.out().contains("stopped"), done.out());
         long ms = TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - begin);
         assertTrue(ms >= 4_900 && ms < 20_000, ms + " ms");
     }
 
-    // ---- what is declared ----
+    // ---- diff and apply ----
 
     private static Map<String, Object> plan(List<String> added, List<String> reload) {
         return new LinkedHashMap<>(Map.of(
@@ -570,8 +570,8 @@
     }
 
     @Test
-    void diffTellsWhatWouldChangeAndChangesNothing() {
-        ScriptedAgent a = agent().says("apply", plan(List.of("n2"), List.of("n1")));
+    void diffShowsChangesWithoutApplyingThem() {
+        ScriptedAgent a = agent().replies("apply", plan(List.of("n2"), List.of("n1")));
         assertEquals(
                 "added n2\nreload n1\n1 unchanged\n", ctl("diff", file).code(1).out());
         assertEquals(
@@ -582,75 +582,77 @@
         for (String part : List.of("added", "removed", "reload", "needRestart")) {
             Map<String, Object> plan = plan(List.of(), List.of());
             plan.put(part, List.of("n7"));
-            a.says("apply", plan);
+            a.replies("apply", plan);
             ctl("diff", file).code(1).says(part + " n7");
         }
-        a.says("apply", plan(List.of(), List.of()));
+        a.replies("apply", plan(List.of(), List.of()));
         assertEquals("1 unchanged\n", ctl("diff", file).code(0).out());
-        assertTrue(a.asked.stream().allMatch(r -> Boolean.TRUE.equals(r.get("dry"))));
+        assertTrue(a.requests.stream().allMatch(r -> Boolean.TRUE.equals(r.get("dry"))));
         a.refuses("apply", "instances[0].name is missing");
         assertEquals(
                 "cacheproxyctl: agent a: instances[0].name is missing\n",
                 ctl("diff", file).code(4).err());
-        ctl("diff", folder.resolve("none")).code(4).says("is not there");
+        ctl("diff", folder.resolve("none")).code(4).says("does not exist");
     }
 
     @Test
-    void applyWaitsUntilAllIsAsDeclaredAndTellsHowItGoes() {
+    void applyWaitsForDeclaredStateAndPrintsProgress() {
         ScriptedAgent a = agent("a")
-                .says("apply", plan(List.of("n0"), List.of()))
+                .replies("apply", plan(List.of("n0"), List.of()))
                 .lists(
                         List.of(instance("n0", "starting")),
                         List.of(instance("n0", "starting")),
                         List.of(instance("n0", "ready"), instance("n1", "stopped", "wanted", false)));
-        Done done = ctl("apply", file).code(0);
+        Result done = ctl("apply", file).code(0);
         assertEquals("added n0\n1 unchanged\n", done.out());
-        assertEquals("n0 starting\nn0 ready\nn1 stopped: not wanted\n", done.err());
+        assertEquals("n0 starting\nn0 ready\nn1 stopped: not declared to run\n", done.err());
         assertEquals(List.of("apply", "list", "list", "list"), a.ops());
         assertFalse(a.last("apply").containsKey("dry"));
         assertEquals(SITE, a.last("apply").get("site"));
-        Done json = ctl("apply", "-o", "json", file).code(0);
+        Result json = ctl("apply", "-o", "json", file).code(0);
         assertEquals(plan(List.of("n0"), List.of()), json.json());
         assertEquals("", json.err());
     }
 
     @Test
-    void applyEndsAsItsCodesSay() {
+    void applyExitsWithCodeOfOutcome() {
         ScriptedAgent a = agent("a")
-                .says("apply", plan(List.of("n0"), List.of()))
+                .replies("apply", plan(List.of("n0"), List.of()))
                 .lists(List.of(instance("n0", "given up", "crashes", 5), instance("n1", "ready")));
-        ctl("apply", file).code(1).says("n0 given up: crashes in a row: 5", "cacheproxyctl: not as wanted: n0\n");
+        ctl("apply", file)
+                .code(1)
+                .says("n0 given up: crashes in a row: 5", "cacheproxyctl: not in the desired state: n0\n");
         a.lists(List.of(instance("n0", "starting"), instance("n1", "backing off")));
-        ctl("apply", "--timeout", 0, file).code(5).says("cacheproxyctl: not as wanted: n0, n1\n");
+        ctl("apply", "--timeout", 0, file).code(5).says("cacheproxyctl: not in the desired state: n0, n1\n");
         a.lists(List.of(instance("n0", "ready", "refused", "no", "trouble", "configuration refused: no")));
-        ctl("apply", file).code(1).says("n0 ready: configuration refused: no", "not as wanted: n0");
-        a.asked.clear();
+        ctl("apply", file).code(1).says("n0 ready: configuration refused: no", "not in the desired state: n0");
+        a.requests.clear();
         ctl("apply", "--no-wait", file).code(0);
         assertEquals(List.of("apply"), a.ops());
-        a.asked.clear();
+        a.requests.clear();
         a.refuses("apply", "the journal cannot be written: nothing is changed");
-        Done no = ctl("apply", file).code(4);
+        Result no = ctl("apply", file).code(4);
         assertEquals("cacheproxyctl: agent a: the journal cannot be written: nothing is changed\n", no.err());
         assertEquals(List.of("apply"), a.ops());
     }
 
-    // ---- what is wanted ----
+    // ---- operations on instances ----
 
     @Test
-    void wishesSayTheirOperationAndNames() {
+    void operationsSendInstanceNames() {
         ScriptedAgent a = agent();
         for (String op : List.of("start", "stop", "restart", "reload")) {
-            a.says(op, Map.of("results", Map.of("n0", "", "n1", "")));
+            a.replies(op, Map.of("results", Map.of("n0", "", "n1", "")));
             ctl(op, "--no-wait", "n0", "n1").code(0);
             assertEquals(List.of("n0", "n1"), a.last(op).get("names"));
             ctl(op, "--no-wait", "--all").code(0);
             assertEquals(List.of(), a.last(op).get("names"));
-            a.asked.clear();
-            ctl(op).code(2).says("name instances, or say --all");
-            ctl(op, "--all", "n0").code(2).says("name instances, or say --all");
+            a.requests.clear();
+            ctl(op).code(2).says("name instances or use --all");
+            ctl(op, "--all", "n0").code(2).says("name instances or use --all");
             assertEquals(List.of(), a.ops());
-            a.says(op, Map.of("results", Map.of("n0", "", "n9", "no instance is named n9")));
-            Done some = ctl(op, "n0", "n9").code(1);
+            a.replies(op, Map.of("results", Map.of("n0", "", "n9", "no instance is named n9")));
+            Result some = ctl(op, "n0", "n9").code(1);
             assertEquals("cacheproxyctl: n9: no instance is named n9\n", some.err());
             a.refuses(op, "names: a list is needed, empty for all");
             ctl(op, "n0").code(4).says("agent a: names: a list is needed");
@@ -658,18 +660,19 @@
     }
 
     @Test
-    void wishesWaitForWhatTheyWish() {
+    void operationsWaitForTheirEffect() {
         Map<String, Object> done = Map.of("results", Map.of("n0", ""));
-        ScriptedAgent a = agent("a").says("start", done).says("stop", done).says("reload", done);
+        ScriptedAgent a =
+                agent("a").replies("start", done).replies("stop", done).replies("reload", done);
         List<Map<String, Object>> other = List.of(instance("n0", "ready"), instance("n1", "crashed"));
         a.lists(other);
-        ctl("start", "n0").code(0); // what n1 does is not asked
-        ctl("stop", "--timeout", 0, "n0").code(5).says("not as wanted: n0");
+        ctl("start", "n0").code(0); // the state of n1 does not matter
+        ctl("stop", "--timeout", 0, "n0").code(5).says("not in the desired state: n0");
         a.lists(List.of(instance("n0", "stopped", "wanted", false)));
-        ctl("stop", "n0").code(0).says("n0 stopped: not wanted");
+        ctl("stop", "n0").code(0).says("n0 stopped: not declared to run");
         a.lists(List.of());
-        ctl("stop", "n0").code(0); // one that was removed is gone when it has ended
-        ctl("start", "n0").code(1).says("not as wanted: n0");
+        ctl("stop", "n0").code(0); // a removed instance counts as ended
+        ctl("start", "n0").code(1).says("not in the desired state: n0");
         a.lists(List.of(instance("n0", "hung", "wanted", false)));
         ctl("stop", "--timeout", 0, "n0").code(5).says("n0 hung");
         a.lists(List.of(instance("n0", "given up")));
@@ -677,8 +680,8 @@
     }
 
     @Test
-    void aReloadIsDoneWhenItIsTakenAndNotWhenItIsRefused() {
-        ScriptedAgent a = agent("a").says("reload", Map.of("results", Map.of("n0", "")));
+    void reloadSucceedsOnlyIfNewConfigurationIsAccepted() {
+        ScriptedAgent a = agent("a").replies("reload", Map.of("results", Map.of("n0", "")));
         Object[] old = {"refused", "old", "trouble", "configuration refused: old"};
         Object[] now = {"refused", "new", "trouble", "configuration refused: new"};
         a.lists(
@@ -686,17 +689,19 @@
                 List.of(instance("n0", "reloading", old)),
                 List.of(instance("n0", "ready")));
         ctl("reload", "n0").code(0);
-        ScriptedAgent b = agent("b").says("reload", Map.of("results", Map.of("n0", "")));
+        ScriptedAgent b = agent("b").replies("reload", Map.of("results", Map.of("n0", "")));
         b.lists(
                 List.of(instance("n0", "ready")),
                 List.of(instance("n0", "reloading")),
                 List.of(instance("n0", "ready", now)));
-        run("reload", "n0", "-a", b.folder).code(1).says("n0 ready: configuration refused: new", "not as wanted: n0");
+        run("reload", "n0", "-a", b.folder)
+                .code(1)
+                .says("n0 ready: configuration refused: new", "not in the desired state: n0");
     }
 
     @Test
-    void aRestartIsDoneWhenTheNextStartIsReady() {
-        ScriptedAgent a = agent("a").says("restart", Map.of("results", Map.of("n0", "", "n1", "")));
+    void restartWaitsUntilNewStartIsReady() {
+        ScriptedAgent a = agent("a").replies("restart", Map.of("results", Map.of("n0", "", "n1", "")));
         a.lists(
                 List.of(instance("n0", "ready"), instance("n1", "ready", "start", 11)),
                 List.of(instance("n0", "ready"), instance("n1", "ready", "start", 12)),
@@ -705,11 +710,11 @@
         ctl("restart", "--all").code(0);
         assertEquals(List.of("list", "restart", "list", "list", "list"), a.ops());
         a.lists(List.of(instance("n0", "ready", "start", 2)));
-        ctl("restart", "--timeout", 0, "n0").code(5).says("not as wanted: n0");
+        ctl("restart", "--timeout", 0, "n0").code(5).says("not in the desired state: n0");
     }
 
     @Test
-    void waitEndsWhenAllIsAsWantedOrNot() {
+    void waitExitsOnSuccessFailureOrTimeout() {
         ScriptedAgent a = agent("a")
                 .lists(
                         List.of(instance("n0", "starting")),
@@ -718,19 +723,19 @@
         assertEquals("n0 starting\nn0 ready\n", ctl("wait", "n0").code(0).err());
         assertEquals(Set.of("list"), Set.copyOf(a.ops()));
         ctl("wait").code(0);
-        ctl("wait", "--for", "stopped", "--timeout", 0).code(5).says("not as wanted: n0");
+        ctl("wait", "--for", "stopped", "--timeout", 0).code(5).says("not in the desired state: n0");
         a.lists(List.of(instance("n0", "stopped", "wanted", false), instance("n1", "ready")));
         ctl("wait", "--for", "stopped", "n0").code(0);
-        ctl("wait", "--timeout", 0, "n0").code(5); // asked for by name, it is to be ready
+        ctl("wait", "--timeout", 0, "n0").code(5); // an instance that is named must be ready
         ctl("wait").code(0);
         a.lists(List.of(instance("n0", "given up")));
-        ctl("wait").code(1).says("not as wanted: n0");
+        ctl("wait").code(1).says("not in the desired state: n0");
         for (String what : List.of("ready", "stopped")) {
             assertEquals(
                     "cacheproxyctl: agent a: no instance is named n9\n",
                     ctl("wait", "--for", what, "n9").code(4).err());
         }
-        ctl("wait", "--for", "good").code(2).says("--for: ready or stopped, not good");
+        ctl("wait", "--for", "good").code(2).says("--for: expected ready or stopped, got good");
         ctl("wait", "--timeout", "x").code(2).says("--timeout");
     }
 
@@ -745,8 +750,8 @@
     }
 
     @Test
-    void aRollingRestartIsFollowedToItsEnd() {
-        ScriptedAgent a = agent("a").says("roll", Map.of("rolling", "0 of 2"));
+    void rollingRestartPrintsEventsUntilItEnds() {
+        ScriptedAgent a = agent("a").replies("roll", Map.of("rolling", "0 of 2"));
         a.on(
                 "events",
                 (nth, request, to) -> to.end(
@@ -756,13 +761,13 @@
                             case 2 -> events(10);
                             default -> events(11, ":rolling restart 1 is done");
                         }));
-        Done done = ctl("rolling-restart", "--max-down", 2, "n1", "n0").code(0);
+        Result done = ctl("rolling-restart", "--max-down", 2, "n1", "n0").code(0);
         assertEquals(
                 " rolling restart 1 of 2 begins, 2 at once\nn0 stopping\n rolling restart 1 is done\n", done.err());
         assertEquals(List.of("n1", "n0"), a.last("roll").get("names"));
         assertEquals(2, a.last("roll").get("mostDown"));
         assertEquals(List.of("events", "roll", "events", "events", "events"), a.ops());
-        List<Object> froms = a.asked.stream()
+        List<Object> froms = a.requests.stream()
                 .filter(r -> r.get("op").equals("events"))
                 .map(r -> r.get("from"))
                 .toList();
@@ -770,8 +775,8 @@
     }
 
     @Test
-    void aRollingRestartEndsAsItsCodesSay() {
-        ScriptedAgent a = agent("a").says("roll", Map.of("rolling", "0 of 2"));
+    void rollingRestartExitsWithCodeOfOutcome() {
+        ScriptedAgent a = agent("a").replies("roll", Map.of("rolling", "0 of 2"));
         a.on(
                 "events",
                 (nth, request, to) -> to.end(
@@ -782,9 +787,9 @@
                                         "n0:rolling restart 1 is done",
                                         ":rolling restart 1 stopped: n0 has crashed")));
         ctl("rolling-restart").code(1).says("rolling restart 1 stopped: n0 has crashed");
-        a.says("events", events(9));
-        ctl("rolling-restart", "--timeout", 0).code(5).says("cacheproxyctl: it goes on; the time given is over");
-        a.asked.clear();
+        a.replies("events", events(9));
+        ctl("rolling-restart", "--timeout", 0).code(5).says("cacheproxyctl: timed out; the rolling restart continues");
+        a.requests.clear();
         ctl("rolling-restart", "--no-wait").code(0);
         assertEquals(List.of("events", "roll"), a.ops());
         assertEquals(1, a.last("roll").get("mostDown"));
@@ -793,11 +798,11 @@
         ctl("rolling-restart", "--max-down", "x").code(2).says("--max-down");
     }
 
-    // ---- what was ----
+    // ---- logs and events ----
 
     @Test
-    void logsShowTheEndOfALogAndFollowIt() {
-        ScriptedAgent a = agent("a").says("log", Map.of("text", "one\n\ttwo\n", "next", 9));
+    void logsShowsEndOfLogAndFollowsIt() {
+        ScriptedAgent a = agent("a").replies("log", Map.of("text", "one\n\ttwo\n", "next", 9));
         assertEquals("one\n\ttwo\n", ctl("logs", "-c", 100, "n0").code(0).out());
         assertEquals(Map.of("v", 1, "op", "log", "name", "n0", "from", -1, "bytes", 100), a.last("log"));
         ScriptedAgent b = agent("b");
@@ -808,17 +813,17 @@
                 to.fail("no instance is named n0"); // removed
             }
         });
-        Done done = run("logs", "-f", "n0", "-a", b.folder).code(4);
+        Result done = run("logs", "-f", "n0", "-a", b.folder).code(4);
         assertEquals("0\n1\n2\n", done.out());
         assertEquals("cacheproxyctl: agent b: no instance is named n0\n", done.err());
         assertEquals(
                 List.of(-1, 10, 11, 12),
-                b.asked.stream().map(r -> r.get("from")).toList());
+                b.requests.stream().map(r -> r.get("from")).toList());
         ctl("logs").code(2).says("NAME");
     }
 
     @Test
-    void eventsAreShownAndFollowed() throws Exception {
+    void eventsShowsAndFollowsEvents() throws Exception {
         ScriptedAgent a = agent("a");
         a.on("events", (nth, request, to) -> {
             to.part(events(3, ":agent begins", "n0:starting"));
@@ -863,23 +868,23 @@
         assertEquals(4, p.waitFor());
     }
 
-    // ---- ended in the middle ----
+    // ---- interrupted commands ----
 
     @Test
-    void aToolThatIsEndedInTheMiddleChangesNothingElse() throws Exception {
+    void interruptedCommandMakesNoFurtherRequests() throws Exception {
         Map<String, Object> done = Map.of("results", Map.of("n0", ""));
         for (boolean kill : new boolean[] {true, false}) {
             ScriptedAgent a = agent(kill ? "k" : "t")
-                    .says("apply", plan(List.of("n0"), List.of()))
-                    .says("stop", done)
-                    .says("roll", Map.of("rolling", "0 of 1"))
-                    .says("events", events(1));
+                    .replies("apply", plan(List.of("n0"), List.of()))
+                    .replies("stop", done)
+                    .replies("roll", Map.of("rolling", "0 of 1"))
+                    .replies("events", events(1));
             a.lists(List.of(instance("n0", "starting")));
             for (List<Object> args :
                     List.<List<Object>>of(List.of("apply", file), List.of("stop", "n0"), List.of("rolling-restart"))) {
-                a.asked.clear();
+                a.requests.clear();
                 String poll = args.get(0).equals("rolling-restart") ? "events" : "list";
-                CountDownLatch waits = a.awaited(poll, 4); // some of it is polling
+                CountDownLatch waits = a.awaited(poll, 4); // the command is polling
                 List<Object> all = new ArrayList<>(args);
                 all.addAll(List.of("-a", a.folder));
                 Process p = child(all.toArray())
@@ -897,34 +902,45 @@
                 String op = args.get(0).equals("rolling-restart") ? "roll" : String.valueOf(args.get(0));
                 assertEquals(1, a.ops().stream().filter(op::equals).count());
                 assertEquals(Set.of(op, poll), Set.copyOf(a.ops()));
-                run("list", "-a", a.folder).code(1).says("n0"); // and the agent answers the next
+                run("list", "-a", a.folder).code(1).says("n0"); // the agent still answers the next command
             }
         }
     }
 
-    // ---- what may not reach a terminal ----
+    // ---- terminal output ----
 
     @Test
     void controlCharactersDoNotReachTheTerminal() {
         Map<String, Object> one = instance(
-                EVIL,
-                EVIL,
+                CONTROL_CHARACTERS,
+                CONTROL_CHARACTERS,
                 "listen",
-                EVIL,
+                CONTROL_CHARACTERS,
                 "trouble",
-                EVIL,
+                CONTROL_CHARACTERS,
                 "exitCode",
-                EVIL,
+                CONTROL_CHARACTERS,
                 "told",
-                Map.of(EVIL, EVIL, "nodes", Map.of(EVIL, List.of(EVIL))));
+                Map.of(
+                        CONTROL_CHARACTERS,
+                        CONTROL_CHARACTERS,
+                        "nodes",
+                        Map.of(CONTROL_CHARACTERS, List.of(CONTROL_CHARACTERS))));
         Map<String, Object> told = listed(List.of(one));
-        told.put("trouble", EVIL);
-        told.put("rolling", EVIL);
-        Map<String, Object> plan = plan(List.of(EVIL), List.of(EVIL));
-        ScriptedAgent a = agent("a").says("list", told).says("status", told).says("apply", plan);
-        a.says("log", Map.of("text", "a\n\tb" + EVIL, "next", 1));
-        a.says("events", events(3, EVIL + ":" + EVIL, ":rolling restart " + EVIL + " stopped: "));
-        a.says("roll", Map.of("rolling", EVIL)).says("start", Map.of("results", Map.of(EVIL, EVIL)));
+        told.put("trouble", CONTROL_CHARACTERS);
+        told.put("rolling", CONTROL_CHARACTERS);
+        Map<String, Object> plan = plan(List.of(CONTROL_CHARACTERS), List.of(CONTROL_CHARACTERS));
+        ScriptedAgent a =
+                agent("a").replies("list", told).replies("status", told).replies("apply", plan);
+        a.replies("log", Map.of("text", "a\n\tb" + CONTROL_CHARACTERS, "next", 1));
+        a.replies(
+                "events",
+                events(
+                        3,
+                        CONTROL_CHARACTERS + ":" + CONTROL_CHARACTERS,
+                        ":rolling restart " + CONTROL_CHARACTERS + " stopped: "));
+        a.replies("roll", Map.of("rolling", CONTROL_CHARACTERS))
+                .replies("start", Map.of("results", Map.of(CONTROL_CHARACTERS, CONTROL_CHARACTERS)));
         List<List<Object>> all = List.of(
                 List.of("list"),
                 List.of("status"),
@@ -936,26 +952,28 @@
                 List.of("start", "n0"),
                 List.of("wait", "--timeout", 0));
         for (List<Object> args : all) {
-            Done done = ctl(args.toArray());
-            clean(done);
+            Result done = ctl(args.toArray());
+            assertNoControlCharacters(done);
             done.says("?[2Jx?31m????end");
             assertTrue(done.code() < 2 || done.code() == 5, done.toString());
-            Done same =
+            Result same =
                     ctl(Stream.concat(args.stream(), Stream.of("-o", "json")).toArray());
-            clean(same);
+            assertNoControlCharacters(same);
             if (Set.of("list", "status", "diff").contains(args.get(0))) {
-                assertTrue(same.json().toString().contains(EVIL), "JSON has it, escaped");
+                assertTrue(
+                        same.json().toString().contains(CONTROL_CHARACTERS),
+                        "JSON output must contain the text, escaped");
             }
         }
         for (String op : List.of("list", "status", "apply", "log", "events", "roll", "start")) {
-            a.refuses(op, EVIL);
+            a.refuses(op, CONTROL_CHARACTERS);
         }
         for (List<Object> args : all) {
-            clean(ctl(args.toArray()).code(4).says("agent a: ?[2Jx?31m????end"));
+            assertNoControlCharacters(ctl(args.toArray()).code(4).says("agent a: ?[2Jx?31m????end"));
         }
     }
 
-    private static void clean(Done done) {
+    private static void assertNoControlCharacters(Result done) {
         String all = done.out() + done.err();
         all.chars()
                 .forEach(c -> assertTrue(
--- a/fleet/src/test/java/cacheproxy/cli/ScriptedAgent.java
+++ b/fleet/src/test/java/cacheproxy/cli/ScriptedAgent.java
@@ -16,16 +16,16 @@
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.AtomicInteger;
 
-/** An agent that says what a test wants, and keeps what it was asked. */
+/** A stand-in agent that sends scripted replies and records the requests. */
 final class ScriptedAgent implements Closeable {
-    /** An answer to the nth request of its kind, from 0 on. */
-    interface Answer {
+    /** Replies to the nth request (from 0) of an operation. */
+    interface ReplyScript {
         void to(int nth, Map<String, Object> request, ControlServer.Reply reply);
     }
 
     final Path folder;
-    final List<Map<String, Object>> asked = new CopyOnWriteArrayList<>();
-    private final Map<String, Answer> answers = new ConcurrentHashMap<>();
+    final List<Map<String, Object>> requests = new CopyOnWriteArrayList<>();
+    private final Map<String, ReplyScript> scripts = new ConcurrentHashMap<>();
     private final Map<String, AtomicInteger> counts = new ConcurrentHashMap<>();
     private final EventLoop loop = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory()).next();
     private final ControlServer server;
@@ -36,9 +36,9 @@
     }
 
     private void answer(String op, Map<String, Object> request, ControlServer.Reply reply) {
-        asked.add(request);
+        requests.add(request);
         int nth = counts.computeIfAbsent(op, x -> new AtomicInteger()).getAndIncrement();
-        Answer answer = answers.get(op);
+        ReplyScript answer = scripts.get(op);
         if (answer == null) {
             reply.fail("no such operation: " + op);
         } else {
@@ -46,12 +46,12 @@
         }
     }
 
-    ScriptedAgent on(String op, Answer answer) {
-        answers.put(op, answer);
+    ScriptedAgent on(String op, ReplyScript answer) {
+        scripts.put(op, answer);
         return this;
     }
 
-    ScriptedAgent says(String op, Map<String, Object> reply) {
+    ScriptedAgent replies(String op, Map<String, Object> reply) {
         return on(op, (nth, request, to) -> to.end(reply));
     }
 
@@ -59,7 +59,7 @@
         return on(op, (nth, request, to) -> to.fail(why));
     }
 
-    /** Lists the first at the first question, and so on; the last of them for ever. */
+    /** Replies to the nth list request with the nth list, and with the last one from then on. */
     @SafeVarargs
     final ScriptedAgent lists(List<Map<String, Object>>... each) {
         return on("list", (nth, request, to) -> to.end(listed(each[Math.min(nth, each.length - 1)])));
@@ -88,22 +88,22 @@
 
     List<Object> ops() {
         List<Object> ops = new ArrayList<>();
-        asked.forEach(r -> ops.add(r.get("op")));
+        requests.forEach(r -> ops.add(r.get("op")));
         return ops;
     }
 
-    /** The last request of this kind. */
+    /** The last request of this operation. */
     Map<String, Object> last(String op) {
-        return asked.stream()
+        return requests.stream()
                 .filter(r -> op.equals(r.get("op")))
                 .reduce((a, b) -> b)
                 .orElseThrow();
     }
 
-    /** Has a question of this kind counted from here on, and then answered as before. */
+    /** Counts requests of this operation from now on; replies stay as before. */
     CountDownLatch awaited(String op, int times) {
         CountDownLatch latch = new CountDownLatch(times);
-        Answer before = answers.get(op);
+        ReplyScript before = scripts.get(op);
         on(op, (nth, request, to) -> {
             latch.countDown();
             before.to(nth, request, to);
--- a/fleet/src/test/java/cacheproxy/cli/StateCommandsTest.java
+++ b/fleet/src/test/java/cacheproxy/cli/StateCommandsTest.java
@@ -16,7 +16,7 @@
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
 
-/** Three members as processes, and what the tool says of them while one is killed and comes back. */
+/** Runs three members as processes and checks the tool's output while one is killed and restarted. */
 @Timeout(90)
 class StateCommandsTest {
     private static final int MEMBERS = 3;
@@ -73,15 +73,15 @@
         processes.forEach(p -> p.destroyForcibly().onExit().join());
     }
 
-    private final StringWriter said = new StringWriter();
+    private final StringWriter output = new StringWriter();
 
     private int tool(String... words) {
-        said.getBuffer().setLength(0);
-        PrintWriter out = new PrintWriter(said, true);
+        output.getBuffer().setLength(0);
+        PrintWriter out = new PrintWriter(output, true);
         return CacheproxyctlCommand.run(out, out, words);
     }
 
-    /** The test's time bounds it. */
+    /** Polls until the exit code matches; the timeout of the test bounds the wait. */
     private void untilStateIs(int code) throws InterruptedException {
         while (tool("state", "-m", all()) != code) {
             Thread.sleep(50);
@@ -89,30 +89,30 @@
     }
 
     @Test
-    void ordersAndStateThroughADeath() throws Exception {
+    void stateAndOperatorCommandsSurviveRestartOfAMember() throws Exception {
         write();
         for (int i = 0; i < MEMBERS; i++) {
             start(i);
         }
         untilStateIs(ExitCode.OK.value());
-        assertTrue(said.toString().contains("all copies are equal"), said.toString());
+        assertTrue(output.toString().contains("all replicas are equal"), output.toString());
         assertEquals(
                 ExitCode.OK.value(),
                 tool("order", "-m", folder(0).toString(), "drain", "s-1", "--why", "disk errors", "--who", "anna"),
-                said.toString());
+                output.toString());
         assertTrue(
-                said.toString().contains("drain s-1: on 2 disks")
-                        || said.toString().contains("on 3 disks"),
-                said.toString());
+                output.toString().contains("drain s-1: on 2 disks")
+                        || output.toString().contains("on 3 disks"),
+                output.toString());
         processes.get(2).destroyForcibly().waitFor();
         assertEquals(ExitCode.UNREACHABLE.value(), tool("state", "-m", all()));
-        assertTrue(said.toString().contains("UNREACHABLE"), said.toString());
+        assertTrue(output.toString().contains("UNREACHABLE"), output.toString());
         start(2);
         untilStateIs(ExitCode.OK.value());
-        assertEquals(ExitCode.OK.value(), tool("state", "diff", "-m", folder(0) + "," + folder(2)), said.toString());
+        assertEquals(ExitCode.OK.value(), tool("state", "diff", "-m", folder(0) + "," + folder(2)), output.toString());
         assertEquals(ExitCode.OK.value(), tool("state", "show", "-m", folder(2).toString()));
-        assertTrue(said.toString().contains("drain by anna (disk errors)"), said.toString());
+        assertTrue(output.toString().contains("drain by anna (disk errors)"), output.toString());
         assertEquals(ExitCode.REFUSED.value(), tool("order", "-m", folder(0).toString(), "drain", "a/b", "--why", "x"));
-        assertTrue(said.toString().contains("a part of a key"), said.toString());
+        assertTrue(output.toString().contains("a part of a key"), output.toString());
     }
 }
