--- a/bench/Load.java
+++ b/bench/Load.java
@@ -15,12 +15,12 @@
 import java.util.concurrent.atomic.AtomicLong;
 
 /**
- * Load for a proxy that runs as a process: one cache node that answers at once, and clients that ask for values of 100
- * bytes, each the next when the last is answered. Prints the proxy's processor time for a request and its requests a
- * second. Loopback only; it ends by itself.
+ * Load generator for a proxy that runs as a separate process: one cache node that answers immediately, and closed-loop
+ * clients that read values of 100 bytes. Prints the CPU time of the proxy per request and its requests per second. Uses
+ * the loopback interface only; the clients end by themselves.
  *
- * <p>{@code java bench/Load.java node PORT} is the node; {@code java bench/Load.java ask PROXY_PORT PID SECONDS
- * CONNECTIONS} the clients.
+ * <p>{@code java bench/Load.java node PORT} runs the node; {@code java bench/Load.java ask PROXY_PORT PID SECONDS
+ * CONNECTIONS} runs the clients.
  */
 public final class Load {
     private static final byte[] VALUE = "v".repeat(100).getBytes(StandardCharsets.ISO_8859_1);
@@ -32,7 +32,7 @@
         if (args[0].equals("node")) {
             node(Integer.parseInt(args[1]));
         } else {
-            ask(
+            runClients(
                     Integer.parseInt(args[1]),
                     Long.parseLong(args[2]),
                     Integer.parseInt(args[3]),
@@ -40,7 +40,7 @@
         }
     }
 
-    private static String line(InputStream in) throws IOException {
+    private static String readLine(InputStream in) throws IOException {
         ByteArrayOutputStream line = new ByteArrayOutputStream(128);
         for (int b = in.read(); b != '\n'; b = in.read()) {
             if (b < 0) {
@@ -54,18 +54,18 @@
     private static void node(int port) throws IOException {
         ServerSocket server = new ServerSocket(port, 64, InetAddress.getLoopbackAddress());
         while (true) {
-            Socket s = server.accept();
-            s.setTcpNoDelay(true);
-            Thread t = new Thread(() -> serve(s));
-            t.setDaemon(true);
-            t.start();
+            Socket socket = server.accept();
+            socket.setTcpNoDelay(true);
+            Thread thread = new Thread(() -> serve(socket));
+            thread.setDaemon(true);
+            thread.start();
         }
     }
 
-    private static void serve(Socket s) {
-        try (s) {
-            InputStream in = new BufferedInputStream(s.getInputStream());
-            for (String line = line(in); line != null; line = line(in)) {
+    private static void serve(Socket socket) {
+        try (socket) {
+            InputStream in = new BufferedInputStream(socket.getInputStream());
+            for (String line = readLine(in); line != null; line = readLine(in)) {
                 String id = "O";
                 for (String token : line.split(" ")) {
                     id = token.startsWith("O") ? token : id;
@@ -74,59 +74,59 @@
                 out.writeBytes(("VA 100 " + id + " h1 Lutil=0.30\r\n").getBytes(StandardCharsets.ISO_8859_1));
                 out.writeBytes(VALUE);
                 out.writeBytes(new byte[] {'\r', '\n'});
-                s.getOutputStream().write(out.toByteArray());
+                socket.getOutputStream().write(out.toByteArray());
             }
         } catch (IOException e) {
-            // the proxy has closed it
+            // the proxy closed the connection
         }
     }
 
-    /** Seconds of the processor that a process has used. */
-    private static double cpu(long pid) throws IOException {
+    /** The CPU time that a process has used, in seconds. */
+    private static double cpuSeconds(long pid) throws IOException {
         String stat = Files.readString(Path.of("/proc/" + pid + "/stat"));
         String[] fields = stat.substring(stat.lastIndexOf(')') + 2).split(" ");
         return (Long.parseLong(fields[11]) + Long.parseLong(fields[12])) / TICKS_PER_S;
     }
 
-    private static void ask(int port, long pid, int seconds, int connections) throws Exception {
+    private static void runClients(int port, long pid, int seconds, int connections) throws Exception {
         AtomicLong served = new AtomicLong();
-        AtomicLong other = new AtomicLong();
-        long warmUntil = System.nanoTime() + 4_000_000_000L;
-        long until = warmUntil + seconds * 1_000_000_000L;
-        List<Thread> all = new ArrayList<>();
-        for (int c = 0; c < connections; c++) {
-            int number = c;
-            Thread t = new Thread(() -> client(port, number, until, served, other));
-            t.start();
-            all.add(t);
+        AtomicLong notServed = new AtomicLong();
+        long warmUpEndNanos = System.nanoTime() + 4_000_000_000L;
+        long endNanos = warmUpEndNanos + seconds * 1_000_000_000L;
+        List<Thread> threads = new ArrayList<>();
+        for (int connection = 0; connection < connections; connection++) {
+            int number = connection;
+            Thread thread = new Thread(() -> client(port, number, endNanos, served, notServed));
+            thread.start();
+            threads.add(thread);
         }
         Thread.sleep(4000);
-        long before = served.get();
-        double cpuBefore = cpu(pid);
-        long at = System.nanoTime();
+        long servedBefore = served.get();
+        double cpuSecondsBefore = cpuSeconds(pid);
+        long startNanos = System.nanoTime();
         Thread.sleep(seconds * 1000L - 200);
-        long count = served.get() - before;
-        double used = cpu(pid) - cpuBefore;
-        double took = (System.nanoTime() - at) / 1e9;
-        for (Thread t : all) {
-            t.join();
+        long count = served.get() - servedBefore;
+        double usedCpuSeconds = cpuSeconds(pid) - cpuSecondsBefore;
+        double elapsedSeconds = (System.nanoTime() - startNanos) / 1e9;
+        for (Thread thread : threads) {
+            thread.join();
         }
         System.out.printf(
                 "%.2f us a request, %.0f requests a second, %d not served%n",
-                used / count * 1e6, count / took, other.get());
+                usedCpuSeconds / count * 1e6, count / elapsedSeconds, notServed.get());
     }
 
-    private static void client(int port, int number, long until, AtomicLong served, AtomicLong other) {
-        try (Socket s = new Socket()) {
-            s.connect(new InetSocketAddress(InetAddress.getLoopbackAddress(), port));
-            s.setTcpNoDelay(true);
-            InputStream in = new BufferedInputStream(s.getInputStream());
-            OutputStream out = s.getOutputStream();
-            for (long i = 0; System.nanoTime() < until; i++) {
-                String ask = "mg " + Long.toHexString(number * 1000003L + i % 5000) + " v O" + number + "x" + i
+    private static void client(int port, int number, long endNanos, AtomicLong served, AtomicLong notServed) {
+        try (Socket socket = new Socket()) {
+            socket.connect(new InetSocketAddress(InetAddress.getLoopbackAddress(), port));
+            socket.setTcpNoDelay(true);
+            InputStream in = new BufferedInputStream(socket.getInputStream());
+            OutputStream out = socket.getOutputStream();
+            for (long i = 0; System.nanoTime() < endNanos; i++) {
+                String command = "mg " + Long.toHexString(number * 1000003L + i % 5000) + " v O" + number + "x" + i
                         + " Pc=read,d=500\r\n";
-                out.write(ask.getBytes(StandardCharsets.ISO_8859_1));
-                String line = line(in);
+                out.write(command.getBytes(StandardCharsets.ISO_8859_1));
+                String line = readLine(in);
                 if (line == null) {
                     return;
                 }
@@ -134,7 +134,7 @@
                     in.skipNBytes(102);
                     served.incrementAndGet();
                 } else {
-                    other.incrementAndGet();
+                    notServed.incrementAndGet();
                 }
             }
         } catch (IOException e) {
--- a/fleet/src/main/java/cacheproxy/cli/AgentClient.java
+++ b/fleet/src/main/java/cacheproxy/cli/AgentClient.java
@@ -69,7 +69,8 @@
             reply = call(request(operation, fields), CALL_TIMEOUT_MS);
         } catch (IOException e) {
             throw new CommandFailure(
-                    ExitCode.UNREACHABLE, "agent " + name + " cannot be reached at " + address() + ": " + e.getMessage());
+                    ExitCode.UNREACHABLE,
+                    "agent " + name + " cannot be reached at " + address() + ": " + e.getMessage());
         }
         if (Boolean.TRUE.equals(reply.get("gate"))) {
             throw new CommandFailure(
--- a/fleet/src/main/java/cacheproxy/demo/DemoControl.java
+++ b/fleet/src/main/java/cacheproxy/demo/DemoControl.java
@@ -13,29 +13,29 @@
 import java.util.Map;
 import java.util.concurrent.ThreadFactory;
 
-/** A stand-in of a local site: what it has in common with instances, so that an agent can keep it. */
+/** The control channel of a demo node or demo discovery, with the operations that an agent needs to supervise it. */
 final class DemoControl implements ControlServer.RequestHandler {
     private final Map<String, Object> identity;
     private final String secret;
     private final InstanceLock lock;
 
-    private DemoControl(Map<String, String> env, Path control) {
+    private DemoControl(Map<String, String> env, Path socket) {
         String name = env.getOrDefault("LB_NAME", "demo");
         identity = ProcessIdentity.current(name);
         secret = env.getOrDefault("LB_SECRET", "");
-        ControlServer.checkSocketPath(control);
-        lock = InstanceLock.acquire(name, control.resolveSibling(control.getFileName() + ".lock"));
-        ThreadFactory thread = r -> {
-            Thread t = new Thread(r, "control");
-            t.setDaemon(true);
-            return t;
+        ControlServer.checkSocketPath(socket);
+        lock = InstanceLock.acquire(name, socket.resolveSibling(socket.getFileName() + ".lock"));
+        ThreadFactory threadFactory = task -> {
+            Thread thread = new Thread(task, "control");
+            thread.setDaemon(true);
+            return thread;
         };
-        EventLoop loop = new MultiThreadIoEventLoopGroup(1, thread, NioIoHandler.newFactory()).next();
-        ControlServer.open(loop, control, this);
+        EventLoop loop = new MultiThreadIoEventLoopGroup(1, threadFactory, NioIoHandler.newFactory()).next();
+        ControlServer.open(loop, socket, this);
     }
 
-    /** Opens its control channel, where one is asked for. */
-    static void control(Map<String, String> env) {
+    /** Opens the control channel if LB_CONTROL names its socket. */
+    static void openIfConfigured(Map<String, String> env) {
         String path = env.getOrDefault("LB_CONTROL", "");
         if (!path.isBlank()) {
             new DemoControl(env, Path.of(path));
@@ -43,22 +43,22 @@
     }
 
     static InetSocketAddress listen(Map<String, String> env) {
-        String at = env.getOrDefault("LB_LISTEN", "127.0.0.1:0");
-        int colon = at.lastIndexOf(':');
-        int port = Integer.parseInt(at.substring(colon + 1));
+        String address = env.getOrDefault("LB_LISTEN", "127.0.0.1:0");
+        int colon = address.lastIndexOf(':');
+        int port = Integer.parseInt(address.substring(colon + 1));
         return new InetSocketAddress(InetAddress.getLoopbackAddress(), port);
     }
 
     @Override
-    public void handle(String op, Map<String, Object> request, ControlServer.Reply reply) {
-        switch (op) {
+    public void handle(String operation, Map<String, Object> request, ControlServer.Reply reply) {
+        switch (operation) {
             case "hello" -> ProcessIdentity.answerHello(identity, secret, request, reply);
             case "status" -> {
                 Map<String, Object> status = new LinkedHashMap<>(identity);
                 status.put("phase", lock.isHeld() ? "ready" : "starting");
                 reply.end(status);
             }
-            default -> reply.fail("no such operation: " + op);
+            default -> reply.fail("no such operation: " + operation);
         }
     }
 }
--- a/fleet/src/main/java/cacheproxy/fleet/Main.java
+++ b/fleet/src/main/java/cacheproxy/fleet/Main.java
@@ -12,7 +12,7 @@
 import java.util.Arrays;
 import java.util.List;
 
-/** Command line of the fleet: {@code agent}, {@code member}, {@code ctl} and the local site's stand-ins. */
+/** Entry point of the fleet programs: {@code agent}, {@code member}, {@code ctl} and the stand-ins of a local site. */
 public final class Main {
     private Main() {}
 
@@ -36,7 +36,7 @@
         try {
             Agent.run(Path.of(folder.get(0)));
         } catch (InvalidInputException e) {
-            ends(e, ProxyProcess.code(e));
+            fail(e, ProxyProcess.code(e));
         }
     }
 
@@ -47,9 +47,9 @@
         try {
             MemberService.run(Path.of(folder.get(0)));
         } catch (InvalidInputException e) {
-            ends(e, ProxyProcess.code(e));
+            fail(e, ProxyProcess.code(e));
         } catch (IOException e) {
-            ends(e, 2);
+            fail(e, 2);
         }
     }
 
@@ -64,13 +64,13 @@
                 DemoDiscovery.run(System.getenv(), arguments);
             }
         } catch (InvalidInputException e) {
-            ends(e, ProxyProcess.code(e));
+            fail(e, ProxyProcess.code(e));
         } catch (IOException e) {
-            ends(e, 2);
+            fail(e, 2);
         }
     }
 
-    private static void ends(Exception e, int code) {
+    private static void fail(Exception e, int code) {
         System.err.println("cacheproxy: " + e.getMessage());
         System.exit(code);
     }
--- a/fleet/src/main/java/cacheproxy/site/DeclaredInstance.java
+++ b/fleet/src/main/java/cacheproxy/site/DeclaredInstance.java
@@ -5,12 +5,12 @@
 import java.util.Map;
 
 /**
- * One instance as a site file declares it, with all templates filled in.
+ * One instance as a site file declares it, with all templates expanded.
  *
- * @param program the program it runs: serve, demo-node or demo-discovery
+ * @param program the program that the instance runs: serve, demo-node or demo-discovery
  * @param listen address and port, as ADDRESS:PORT
- * @param configuration text of its configuration file; null: it has none
- * @param greet whether a client's greeting at {@code listen} must be answered for the instance to be ready
+ * @param configuration text of its configuration file; null if it has none
+ * @param greet whether the instance counts as ready only once it answers a greeting at {@code listen}
  */
 public record DeclaredInstance(
         InstanceSpec spec,
--- a/fleet/src/main/java/cacheproxy/site/SiteFile.java
+++ b/fleet/src/main/java/cacheproxy/site/SiteFile.java
@@ -18,18 +18,18 @@
 import java.util.regex.Pattern;
 
 /**
- * A declared site, checked: anything missing or malformed is a {@link InvalidInputException} that names the field by
- * its path. In the texts of a group, {@code {i}} is the instance's number, {@code {12000+i}} a sum with it,
- * {@code {name}} its name.
+ * A parsed and validated site file. A missing or malformed field causes an {@link InvalidInputException} that names the
+ * path of the field. In the texts of a group, {@code {i}} expands to the number of the instance, {@code {12000+i}} to
+ * the sum with that number, and {@code {name}} to the name of the instance.
  */
 public final class SiteFile {
-    private static final int MOST_INSTANCES = 2000;
-    private static final Pattern NAME = Pattern.compile("[A-Za-z0-9][A-Za-z0-9._-]{0,39}");
+    private static final int MAX_INSTANCES = 2000;
+    private static final Pattern INSTANCE_NAME = Pattern.compile("[A-Za-z0-9][A-Za-z0-9._-]{0,39}");
     private static final Pattern ADDRESS = Pattern.compile("[0-9A-Za-z.:\\[\\]_-]+:(\\d{1,5})");
-    private static final Pattern VARIABLE = Pattern.compile("[A-Za-z_][A-Za-z0-9_]*");
-    private static final Pattern SUM = Pattern.compile("\\{(?:(\\d{1,9})\\+)?i}");
-    private static final Set<String> SITE = Set.of("version", "name", "policy", "instances");
-    private static final Set<String> GROUP = Set.of(
+    private static final Pattern VARIABLE_NAME = Pattern.compile("[A-Za-z_][A-Za-z0-9_]*");
+    private static final Pattern NUMBER_TEMPLATE = Pattern.compile("\\{(?:(\\d{1,9})\\+)?i}");
+    private static final Set<String> SITE_FIELDS = Set.of("version", "name", "policy", "instances");
+    private static final Set<String> GROUP_FIELDS = Set.of(
             "name",
             "count",
             "first",
@@ -42,7 +42,7 @@
             "environment",
             "policy",
             "greet");
-    private static final Set<String> POLICY = Set.of(
+    private static final Set<String> POLICY_FIELDS = Set.of(
             "readyWithinMs",
             "stopWithinMs",
             "hungAfterMs",
@@ -61,7 +61,6 @@
         this.name = name;
     }
 
-    /** The site's name. */
     public String name() {
         return name;
     }
@@ -74,7 +73,7 @@
         return instances.stream().map(DeclaredInstance::spec).toList();
     }
 
-    /** Throws {@link InvalidInputException} that names the field. */
+    /** Throws an {@link InvalidInputException} that names the field if the text is not a valid site file. */
     public static SiteFile parse(String text) {
         Map<String, Object> json;
         try {
@@ -85,8 +84,8 @@
         if (json == null) {
             throw new InvalidInputException("the site is not a JSON object: null");
         }
-        known(json, SITE, "");
-        if (!(json.get("version") instanceof Number v) || v.doubleValue() != 1) {
+        rejectUnknownFields(json, SITE_FIELDS, "");
+        if (!(json.get("version") instanceof Number version) || version.doubleValue() != 1) {
             throw new InvalidInputException("version: 1 is the only one known, not " + json.get("version"));
         }
         SiteFile site = new SiteFile(text(json, "name", "", null));
@@ -95,53 +94,54 @@
             throw new InvalidInputException("instances: a list is needed");
         }
         Set<String> names = new LinkedHashSet<>();
-        for (int g = 0; g < groups.size(); g++) {
-            String at = "instances[" + g + "]";
-            Map<String, Object> group = object(groups.get(g), at);
-            known(group, GROUP, at + ".");
-            int count = (int) number(group, "count", at, 1, 1, MOST_INSTANCES);
-            int first = (int) number(group, "first", at, 0, 0, 1_000_000);
+        for (int groupIndex = 0; groupIndex < groups.size(); groupIndex++) {
+            String path = "instances[" + groupIndex + "]";
+            Map<String, Object> group = object(groups.get(groupIndex), path);
+            rejectUnknownFields(group, GROUP_FIELDS, path + ".");
+            int count = (int) number(group, "count", path, 1, 1, MAX_INSTANCES);
+            int first = (int) number(group, "first", path, 0, 0, 1_000_000);
             for (int i = first; i < first + count; i++) {
-                DeclaredInstance instance = instance(group, at, i, policy);
+                DeclaredInstance instance = instance(group, path, i, policy);
                 if (!names.add(instance.name())) {
-                    throw new InvalidInputException(at + ".name: " + instance.name() + " is declared twice");
+                    throw new InvalidInputException(path + ".name: " + instance.name() + " is declared twice");
                 }
                 site.instances.add(instance);
             }
         }
-        if (site.instances.size() > MOST_INSTANCES) {
+        if (site.instances.size() > MAX_INSTANCES) {
             throw new InvalidInputException(
-                    "instances: " + site.instances.size() + ", where " + MOST_INSTANCES + " are the most");
+                    "instances: " + site.instances.size() + ", where " + MAX_INSTANCES + " are the most");
         }
         return site;
     }
 
-    private static DeclaredInstance instance(Map<String, Object> group, String at, int i, SupervisionPolicy usual) {
-        String name = filled(text(group, "name", at + ".", null), i, "");
-        if (!NAME.matcher(name).matches()) {
-            throw new InvalidInputException(at + ".name: letters, digits, '.', '_' and '-', 40 at most, not " + name);
+    private static DeclaredInstance instance(
+            Map<String, Object> group, String path, int i, SupervisionPolicy defaults) {
+        String name = expandTemplates(text(group, "name", path + ".", null), i, "");
+        if (!INSTANCE_NAME.matcher(name).matches()) {
+            throw new InvalidInputException(path + ".name: letters, digits, '.', '_' and '-', 40 at most, not " + name);
         }
-        String program = text(group, "program", at + ".", "serve");
+        String program = text(group, "program", path + ".", "serve");
         if (!Set.of("serve", "demo-node", "demo-discovery").contains(program)) {
-            throw new InvalidInputException(at + ".program: serve, demo-node or demo-discovery, not " + program);
+            throw new InvalidInputException(path + ".program: serve, demo-node or demo-discovery, not " + program);
         }
-        String listen = address(at + ".listen", filled(text(group, "listen", at + ".", null), i, name));
-        String discovery =
-                address(at + ".discovery", filled(text(group, "discovery", at + ".", "127.0.0.1:1"), i, name));
-        List<String> jvm = filled(texts(group, "jvm", at), i, name);
-        List<String> arguments = filled(texts(group, "arguments", at), i, name);
-        Map<String, String> environment = environment(group, at, i, name);
+        String listen = address(path + ".listen", expandTemplates(text(group, "listen", path + ".", null), i, name));
+        String discovery = address(
+                path + ".discovery", expandTemplates(text(group, "discovery", path + ".", "127.0.0.1:1"), i, name));
+        List<String> jvm = expandTemplates(textList(group, "jvm", path), i, name);
+        List<String> arguments = expandTemplates(textList(group, "arguments", path), i, name);
+        Map<String, String> environment = environment(group, path, i, name);
         String configuration = null;
         if (group.containsKey("configuration")) {
-            Map<String, Object> tree = object(group.get("configuration"), at + ".configuration");
+            Map<String, Object> tree = object(group.get("configuration"), path + ".configuration");
             configuration = configuration(tree, name, listen, discovery, i);
         } else if (program.equals("serve")) {
-            throw new InvalidInputException(at + ".configuration is missing: serve needs one");
+            throw new InvalidInputException(path + ".configuration is missing: serve needs one");
         }
-        SupervisionPolicy policy = policy(group.get("policy"), at + ".policy", usual);
-        Object greets = group.getOrDefault("greet", program.equals("serve"));
-        if (!(greets instanceof Boolean greet)) {
-            throw new InvalidInputException(at + ".greet: true or false, not " + greets);
+        SupervisionPolicy policy = policy(group.get("policy"), path + ".policy", defaults);
+        Object greetValue = group.getOrDefault("greet", program.equals("serve"));
+        if (!(greetValue instanceof Boolean greet)) {
+            throw new InvalidInputException(path + ".greet: true or false, not " + greetValue);
         }
         String launch = digest(program, arguments, jvm, listen, program.equals("serve") ? "" : discovery, environment);
         InstanceSpec spec =
@@ -150,33 +150,34 @@
                 spec, program, arguments, jvm, listen, discovery, configuration, environment, greet);
     }
 
-    private static String address(String at, String text) {
-        Matcher m = ADDRESS.matcher(text);
-        if (m.matches() && Integer.parseInt(m.group(1)) < 65536) {
+    private static String address(String path, String text) {
+        Matcher matcher = ADDRESS.matcher(text);
+        if (matcher.matches() && Integer.parseInt(matcher.group(1)) < 65536) {
             return text;
         }
-        throw new InvalidInputException(at + ": an address and port are needed, not " + text);
+        throw new InvalidInputException(path + ": an address and port are needed, not " + text);
     }
 
-    private static Map<String, String> environment(Map<String, Object> group, String at, int i, String name) {
-        Map<String, String> environment = new TreeMap<>(); // in no order of its own
-        Map<String, Object> given = object(group.getOrDefault("environment", Map.of()), at + ".environment");
-        for (Map.Entry<String, Object> e : given.entrySet()) {
-            String field = at + ".environment." + e.getKey();
-            if (!VARIABLE.matcher(e.getKey()).matches()) {
+    private static Map<String, String> environment(Map<String, Object> group, String path, int i, String name) {
+        Map<String, String> environment =
+                new TreeMap<>(); // sorted, so that the order of fields in the file does not change the digest
+        Map<String, Object> declared = object(group.getOrDefault("environment", Map.of()), path + ".environment");
+        for (Map.Entry<String, Object> variable : declared.entrySet()) {
+            String field = path + ".environment." + variable.getKey();
+            if (!VARIABLE_NAME.matcher(variable.getKey()).matches()) {
                 throw new InvalidInputException(field + ": letters, digits and '_' make a variable's name");
             }
-            Object v = e.getValue();
-            if (!(v instanceof String || v instanceof Number || v instanceof Boolean)
-                    || v.toString().indexOf('\0') >= 0) {
-                throw new InvalidInputException(field + ": a text is needed, not " + v);
+            Object value = variable.getValue();
+            if (!(value instanceof String || value instanceof Number || value instanceof Boolean)
+                    || value.toString().indexOf('\0') >= 0) {
+                throw new InvalidInputException(field + ": a text is needed, not " + value);
             }
-            environment.put(e.getKey(), filled(v.toString(), i, name));
+            environment.put(variable.getKey(), expandTemplates(value.toString(), i, name));
         }
         return environment;
     }
 
-    /** Of all parts, each kept apart from the next. */
+    /** The digest of all parts; the JSON encoding keeps the boundaries between them distinct. */
     private static String digest(Object... parts) {
         try {
             return Fingerprint.of(JSON.std.asString(parts));
@@ -186,125 +187,130 @@
     }
 
     private static String configuration(Map<String, Object> tree, String name, String listen, String discovery, int i) {
-        Map<String, Object> all = new LinkedHashMap<>();
-        all.put("name", name);
-        all.put("listen", listen);
-        all.put("discovery", discovery);
-        all.put("seed", Fingerprint.of(name)); // the same at each start: a digest must not change by itself
-        all.putAll(tree);
+        Map<String, Object> fields = new LinkedHashMap<>();
+        fields.put("name", name);
+        fields.put("listen", listen);
+        fields.put("discovery", discovery);
+        fields.put(
+                "seed",
+                Fingerprint.of(name)); // derived from the name, so that the digest does not change between parses
+        fields.putAll(tree);
         try {
-            return filled(JSON.std.asString(all), i, name);
+            return expandTemplates(JSON.std.asString(fields), i, name);
         } catch (IOException e) {
             throw new InvalidInputException("configuration: " + firstLine(e.getMessage()));
         }
     }
 
-    private static String filled(String text, int i, String name) {
-        Matcher m = SUM.matcher(text.replace("{name}", name));
-        return m.replaceAll(r -> Long.toString((r.group(1) == null ? 0 : Long.parseLong(r.group(1))) + i));
+    private static String expandTemplates(String text, int i, String name) {
+        Matcher matcher = NUMBER_TEMPLATE.matcher(text.replace("{name}", name));
+        return matcher.replaceAll(
+                match -> Long.toString((match.group(1) == null ? 0 : Long.parseLong(match.group(1))) + i));
     }
 
-    private static List<String> filled(List<String> texts, int i, String name) {
-        return texts.stream().map(t -> filled(t, i, name)).toList();
+    private static List<String> expandTemplates(List<String> textList, int i, String name) {
+        return textList.stream().map(text -> expandTemplates(text, i, name)).toList();
     }
 
-    private static SupervisionPolicy policy(Object from, String at, SupervisionPolicy usual) {
-        if (from == null) {
-            return usual;
+    private static SupervisionPolicy policy(Object value, String path, SupervisionPolicy defaults) {
+        if (value == null) {
+            return defaults;
         }
-        Map<String, Object> p = object(from, at);
-        known(p, POLICY, at + ".");
+        Map<String, Object> fields = object(value, path);
+        rejectUnknownFields(fields, POLICY_FIELDS, path + ".");
         return new SupervisionPolicy(
-                ms(p, "readyWithinMs", at, usual.readyWithinMs(), 100),
-                ms(p, "stopWithinMs", at, usual.stopWithinMs(), 100),
-                ms(p, "hungAfterMs", at, usual.hungAfterMs(), 100),
-                ms(p, "killAfterMs", at, usual.killAfterMs(), -1),
-                ms(p, "backoffMs", at, usual.backoffMs(), 10),
-                ms(p, "backoffMostMs", at, usual.backoffMostMs(), 10),
-                (int) ms(p, "giveUpAfter", at, usual.giveUpAfter(), 1),
-                ms(p, "stableMs", at, usual.stableMs(), 0),
-                ms(p, "probeMs", at, usual.probeMs(), 50),
-                ms(p, "forkMs", at, usual.forkMs(), 100));
+                ms(fields, "readyWithinMs", path, defaults.readyWithinMs(), 100),
+                ms(fields, "stopWithinMs", path, defaults.stopWithinMs(), 100),
+                ms(fields, "hungAfterMs", path, defaults.hungAfterMs(), 100),
+                ms(fields, "killAfterMs", path, defaults.killAfterMs(), -1),
+                ms(fields, "backoffMs", path, defaults.backoffMs(), 10),
+                ms(fields, "backoffMostMs", path, defaults.backoffMostMs(), 10),
+                (int) ms(fields, "giveUpAfter", path, defaults.giveUpAfter(), 1),
+                ms(fields, "stableMs", path, defaults.stableMs(), 0),
+                ms(fields, "probeMs", path, defaults.probeMs(), 50),
+                ms(fields, "forkMs", path, defaults.forkMs(), 100));
     }
 
-    private static long ms(Map<String, Object> p, String field, String at, long usual, long least) {
-        return number(p, field, at, usual, least, 86_400_000);
+    private static long ms(Map<String, Object> fields, String field, String path, long defaultValue, long min) {
+        return number(fields, field, path, defaultValue, min, 86_400_000);
     }
 
-    private static long number(Map<String, Object> from, String field, String at, long usual, long least, long most) {
-        Object o = from.get(field);
-        if (o == null) {
-            return usual;
+    private static long number(
+            Map<String, Object> fields, String field, String path, long defaultValue, long min, long max) {
+        Object value = fields.get(field);
+        if (value == null) {
+            return defaultValue;
         }
-        if (o instanceof Number n
-                && n.doubleValue() == n.longValue()
-                && n.longValue() >= least
-                && n.longValue() <= most) {
-            return n.longValue();
+        if (value instanceof Number number
+                && number.doubleValue() == number.longValue()
+                && number.longValue() >= min
+                && number.longValue() <= max) {
+            return number.longValue();
         }
         throw new InvalidInputException(
-                at + "." + field + ": a whole number from " + least + " to " + most + ", not " + o);
+                path + "." + field + ": a whole number from " + min + " to " + max + ", not " + value);
     }
 
-    private static String text(Map<String, Object> from, String field, String at, String usual) {
-        Object o = from.getOrDefault(field, usual);
-        if (o instanceof String s && !s.isBlank()) {
-            return s;
+    private static String text(Map<String, Object> fields, String field, String path, String defaultValue) {
+        Object value = fields.getOrDefault(field, defaultValue);
+        if (value instanceof String text && !text.isBlank()) {
+            return text;
         }
-        throw new InvalidInputException(at + field + (o == null ? " is missing" : ": a text is needed, not " + o));
+        throw new InvalidInputException(
+                path + field + (value == null ? " is missing" : ": a text is needed, not " + value));
     }
 
-    private static List<String> texts(Map<String, Object> from, String field, String at) {
-        Object o = from.getOrDefault(field, List.of());
-        if (o instanceof List<?> list && list.stream().allMatch(x -> x instanceof String)) {
+    private static List<String> textList(Map<String, Object> fields, String field, String path) {
+        Object value = fields.getOrDefault(field, List.of());
+        if (value instanceof List<?> list && list.stream().allMatch(element -> element instanceof String)) {
             return list.stream().map(String::valueOf).toList();
         }
-        throw new InvalidInputException(at + "." + field + ": a list of texts is needed");
+        throw new InvalidInputException(path + "." + field + ": a list of texts is needed");
     }
 
-    @SuppressWarnings("unchecked") // the parser makes no other maps than these
-    private static Map<String, Object> object(Object o, String at) {
-        if (o instanceof Map<?, ?> m) {
-            return (Map<String, Object>) m;
+    @SuppressWarnings("unchecked") // the JSON parser's objects have strings for keys
+    private static Map<String, Object> object(Object value, String path) {
+        if (value instanceof Map<?, ?> map) {
+            return (Map<String, Object>) map;
         }
-        throw new InvalidInputException(at + ": an object is needed");
+        throw new InvalidInputException(path + ": an object is needed");
     }
 
-    private static void known(Map<String, Object> from, Set<String> fields, String at) {
-        for (String field : from.keySet()) {
-            if (!fields.contains(field)) {
-                throw new InvalidInputException(at + field + " is not known" + nearest(field, fields));
+    private static void rejectUnknownFields(Map<String, Object> object, Set<String> knownFields, String path) {
+        for (String field : object.keySet()) {
+            if (!knownFields.contains(field)) {
+                throw new InvalidInputException(path + field + " is not known" + suggestion(field, knownFields));
             }
         }
     }
 
-    private static String nearest(String field, Set<String> fields) {
+    private static String suggestion(String field, Set<String> knownFields) {
         String best = null;
-        int least = 3;
-        for (String f : new TreeSet<>(fields)) { // of two as near always the same
-            int d = distance(field, f);
-            if (d < least) {
-                least = d;
-                best = f;
+        int bestDistance = 3;
+        for (String candidate : new TreeSet<>(knownFields)) { // sorted, so that a tie always gives the same name
+            int candidateDistance = distance(field, candidate);
+            if (candidateDistance < bestDistance) {
+                bestDistance = candidateDistance;
+                best = candidate;
             }
         }
         return best == null ? "" : "; meant is perhaps " + best;
     }
 
-    /** Levenshtein's. */
+    /** The Levenshtein distance. */
     private static int distance(String a, String b) {
         int[] row = new int[b.length() + 1];
         for (int j = 0; j < row.length; j++) {
             row[j] = j;
         }
         for (int i = 1; i <= a.length(); i++) {
-            int corner = row[0];
+            int diagonal = row[0];
             row[0] = i;
             for (int j = 1; j < row.length; j++) {
-                int up = row[j];
-                int change = a.charAt(i - 1) == b.charAt(j - 1) ? 0 : 1;
-                row[j] = Math.min(Math.min(row[j], row[j - 1]) + 1, corner + change);
-                corner = up;
+                int above = row[j];
+                int substitutionCost = a.charAt(i - 1) == b.charAt(j - 1) ? 0 : 1;
+                row[j] = Math.min(Math.min(row[j], row[j - 1]) + 1, diagonal + substitutionCost);
+                diagonal = above;
             }
         }
         return row[b.length()];
