--- a/deploy/DiscoveryAndCacheStandIn.java
+++ b/deploy/DiscoveryAndCacheStandIn.java
@@ -105,7 +105,7 @@
     private static void discovery(Socket socket, int node) throws IOException, InterruptedException {
         InputStream in = new BufferedInputStream(socket.getInputStream());
         OutputStream out = socket.getOutputStream();
-        String first = readLine(in);
+        String requestLine = readLine(in);
         while (!readLine(in).isEmpty()) {
             // headers
         }
@@ -117,7 +117,7 @@
             return;
         } else if (call % 4 == 1) {
             write(out, "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\nConnection: close\r\n\r\n");
-        } else if (first.contains("stream=1")) {
+        } else if (requestLine.contains("stream=1")) {
             write(out, "HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nTransfer-Encoding: chunked\r\n\r\n");
             write(out, Integer.toHexString(list.length()) + "\r\n" + list + "\r\n");
             Thread.sleep(400);
--- a/fleet/src/main/java/cacheproxy/cli/InstanceWaiter.java
+++ b/fleet/src/main/java/cacheproxy/cli/InstanceWaiter.java
@@ -61,13 +61,13 @@
 
     /** Returns once all instances reached the goal, one has failed, or the timeout has passed. */
     ExitCode await(int timeoutSeconds) throws InterruptedException {
-        long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(timeoutSeconds);
+        long deadlineNanos = System.nanoTime() + TimeUnit.SECONDS.toNanos(timeoutSeconds);
         while (true) {
             Progress progress = poll();
             if (progress.pending.isEmpty()) {
                 return ExitCode.OK;
             }
-            if (progress.failed || System.nanoTime() > end) {
+            if (progress.failed || System.nanoTime() > deadlineNanos) {
                 options.printProgress(
                         "cacheproxyctl: not in the desired state: " + String.join(", ", progress.pending));
                 return progress.failed ? ExitCode.NOT_IN_DESIRED_STATE : ExitCode.TIMED_OUT;
@@ -87,21 +87,21 @@
     private Progress poll() {
         Set<String> pending = new TreeSet<>();
         boolean failed = false;
-        List<String> missing = new ArrayList<>(names);
+        List<String> unlisted = new ArrayList<>(names);
         for (ListedInstance instance : ReplyFields.instances(agent.call(AgentOperation.LIST))) {
             String name = instance.name();
             if (!names.isEmpty() && !names.contains(name)) {
                 continue;
             }
-            missing.removeIf(name::equals);
+            unlisted.removeIf(name::equals);
             if (!reachedGoal(instance)) {
                 pending.add(name);
                 failed |= failed(instance);
             }
             showChange(instance);
         }
-        if (goal == Goal.READY && !missing.isEmpty()) { // removed from the site in the meantime
-            pending.addAll(missing);
+        if (goal == Goal.READY && !unlisted.isEmpty()) { // removed from the site in the meantime
+            pending.addAll(unlisted);
             failed = true;
         }
         return new Progress(pending, failed);
--- a/fleet/src/main/java/cacheproxy/cli/LocalAgent.java
+++ b/fleet/src/main/java/cacheproxy/cli/LocalAgent.java
@@ -46,9 +46,9 @@
                     .redirectErrorStream(true)
                     .redirectOutput(log.toFile())
                     .start();
-            long end = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(START_TIMEOUT_MS);
+            long deadlineNanos = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(START_TIMEOUT_MS);
             while (!agent.answers(REPLY_TIMEOUT_MS)) {
-                if (!process.isAlive() || System.nanoTime() > end) {
+                if (!process.isAlive() || System.nanoTime() > deadlineNanos) {
                     throw new CommandFailure(
                             ExitCode.UNREACHABLE,
                             "the agent did not start: " + Files.readString(log).strip());
--- a/fleet/src/main/java/cacheproxy/cli/TerminalText.java
+++ b/fleet/src/main/java/cacheproxy/cli/TerminalText.java
@@ -29,7 +29,8 @@
     static String json(String json) {
         return UNSAFE_IN_JSON
                 .matcher(json)
-                .replaceAll(r -> String.format("\\\\u%04x", (int) r.group().charAt(0)));
+                .replaceAll(
+                        match -> String.format("\\\\u%04x", (int) match.group().charAt(0)));
     }
 
     /** Truncates a value for an error message, since an agent's reply may hold a value of any length. */
--- a/fleet/src/main/java/cacheproxy/cli/TextTable.java
+++ b/fleet/src/main/java/cacheproxy/cli/TextTable.java
@@ -18,19 +18,19 @@
     }
 
     void print(PrintWriter out) {
-        int columns = rows.stream().mapToInt(r -> r.length).max().orElse(0);
-        int[] width = new int[columns];
-        for (String[] r : rows) {
-            for (int i = 0; i < r.length; i++) {
-                width[i] = Math.max(width[i], r[i].length());
+        int columns = rows.stream().mapToInt(row -> row.length).max().orElse(0);
+        int[] widths = new int[columns];
+        for (String[] row : rows) {
+            for (int i = 0; i < row.length; i++) {
+                widths[i] = Math.max(widths[i], row[i].length());
             }
         }
-        for (String[] r : rows) {
+        for (String[] row : rows) {
             StringBuilder line = new StringBuilder();
-            for (int i = 0; i < r.length; i++) {
-                line.append(r[i]);
-                if (i < r.length - 1) {
-                    line.append(" ".repeat(width[i] - r[i].length() + 2));
+            for (int i = 0; i < row.length; i++) {
+                line.append(row[i]);
+                if (i < row.length - 1) {
+                    line.append(" ".repeat(widths[i] - row[i].length() + 2));
                 }
             }
             out.println(line.toString().stripTrailing());
@@ -39,12 +39,12 @@
 
     /** Formats a duration with the largest fitting unit. */
     static String formatDuration(Object ms) {
-        if (!(ms instanceof Number n)) {
+        if (!(ms instanceof Number duration)) {
             return "";
         }
-        long s = n.longValue() / 1000;
-        return n.longValue() < 10_000
-                ? n.longValue() + " ms"
-                : s < 600 ? s + " s" : s < 36_000 ? s / 60 + " min" : s / 3600 + " h";
+        long seconds = duration.longValue() / 1000;
+        return duration.longValue() < 10_000
+                ? duration.longValue() + " ms"
+                : seconds < 600 ? seconds + " s" : seconds < 36_000 ? seconds / 60 + " min" : seconds / 3600 + " h";
     }
 }
--- a/fleet/src/main/java/cacheproxy/site/SiteFile.java
+++ b/fleet/src/main/java/cacheproxy/site/SiteFile.java
@@ -159,8 +159,7 @@
     }
 
     private static Map<String, String> environment(Map<String, Object> group, String path, int i, String name) {
-        Map<String, String> environment =
-                new TreeMap<>(); // sorted, so that the order of fields in the file does not change the digest
+        Map<String, String> environment = new TreeMap<>(); // sorted: their order must not change the digest
         Map<String, Object> declared = object(group.getOrDefault("environment", Map.of()), path + ".environment");
         for (Map.Entry<String, Object> variable : declared.entrySet()) {
             String field = path + ".environment." + variable.getKey();
@@ -191,9 +190,7 @@
         fields.put("name", name);
         fields.put("listen", listen);
         fields.put("discovery", discovery);
-        fields.put(
-                "seed",
-                Fingerprint.of(name)); // derived from the name, so that the digest does not change between parses
+        fields.put("seed", Fingerprint.of(name)); // the same at every start, so that the digest does not change
         fields.putAll(tree);
         try {
             return expandTemplates(JSON.std.asString(fields), i, name);
@@ -208,8 +205,8 @@
                 match -> Long.toString((match.group(1) == null ? 0 : Long.parseLong(match.group(1))) + i));
     }
 
-    private static List<String> expandTemplates(List<String> textList, int i, String name) {
-        return textList.stream().map(text -> expandTemplates(text, i, name)).toList();
+    private static List<String> expandTemplates(List<String> texts, int i, String name) {
+        return texts.stream().map(text -> expandTemplates(text, i, name)).toList();
     }
 
     private static SupervisionPolicy policy(Object value, String path, SupervisionPolicy defaults) {
--- a/fleet/src/test/java/cacheproxy/cli/CacheproxyctlCommandTest.java
+++ b/fleet/src/test/java/cacheproxy/cli/CacheproxyctlCommandTest.java
@@ -73,10 +73,10 @@
     /** The exit code and output of a command. */
     private record Result(int code, String out, String err) {
         Map<String, Object> json() {
-            Map<String, Object> o = ControlCodec.decode(out);
-            assertNotNull(o, out);
+            Map<String, Object> object = ControlCodec.decode(out);
+            assertNotNull(object, out);
             assertEquals(1, out.lines().count(), out);
-            return o;
+            return object;
         }
 
         List<Map<String, Object>> agents() {
@@ -84,22 +84,22 @@
             return objects(json().get("agents"));
         }
 
-        Result code(int wanted) {
-            assertEquals(wanted, code, this::toString);
+        Result code(int expected) {
+            assertEquals(expected, code, this::toString);
             return this;
         }
 
-        Result says(String... words) {
-            for (String w : words) {
-                assertTrue(out.contains(w) || err.contains(w), () -> "without '" + w + "': " + this);
+        Result prints(String... words) {
+            for (String word : words) {
+                assertTrue(out.contains(word) || err.contains(word), () -> "without '" + word + "': " + this);
             }
             return this;
         }
     }
 
     @SuppressWarnings("unchecked")
-    private static List<Map<String, Object>> objects(Object o) {
-        return (List<Map<String, Object>>) o;
+    private static List<Map<String, Object>> objects(Object value) {
+        return (List<Map<String, Object>>) value;
     }
 
     @BeforeEach
@@ -112,12 +112,12 @@
     @AfterEach
     void close() throws Exception {
         System.setProperty("user.home", home);
-        for (AutoCloseable c : opened) {
-            c.close();
+        for (AutoCloseable closeable : opened) {
+            closeable.close();
         }
-        try (Stream<Path> all = Files.walk(folder)) {
-            for (Path p : all.sorted((a, b) -> b.compareTo(a)).toList()) {
-                Files.delete(p);
+        try (Stream<Path> paths = Files.walk(folder)) {
+            for (Path path : paths.sorted((a, b) -> b.compareTo(a)).toList()) {
+                Files.delete(path);
             }
         }
     }
@@ -129,7 +129,7 @@
     }
 
     private ScriptedAgent agent() {
-        return agent("a").lists(List.of(instance("n0", "ready"), instance("n1", "ready")));
+        return agent("a").listsInTurn(List.of(instance("n0", "ready"), instance("n1", "ready")));
     }
 
     private static Result run(Object... args) {
@@ -148,7 +148,7 @@
                 .toArray());
     }
 
-    private ProcessBuilder child(Object... args) {
+    private ProcessBuilder child(Object... arguments) {
         List<String> command = new ArrayList<>(List.of(
                 Path.of(System.getProperty("java.home"), "bin", "java").toString(),
                 "-XX:TieredStopAtLevel=1",
@@ -157,21 +157,21 @@
                 System.getProperty("java.class.path"),
                 "cacheproxy.fleet.Main",
                 "ctl"));
-        Stream.of(args).forEach(a -> command.add(String.valueOf(a)));
-        ProcessBuilder b = new ProcessBuilder(command).directory(folder.toFile());
-        b.environment().keySet().removeAll(Set.of("CACHEPROXY_AGENTS", "HATCH_AGENTS", "JAVA_TOOL_OPTIONS"));
-        b.environment().put("XDG_CACHE_HOME", folder.resolve("cache").toString());
-        b.redirectInput(new File("/dev/null"));
-        return b;
+        Stream.of(arguments).forEach(argument -> command.add(String.valueOf(argument)));
+        ProcessBuilder builder = new ProcessBuilder(command).directory(folder.toFile());
+        builder.environment().keySet().removeAll(Set.of("CACHEPROXY_AGENTS", "HATCH_AGENTS", "JAVA_TOOL_OPTIONS"));
+        builder.environment().put("XDG_CACHE_HOME", folder.resolve("cache").toString());
+        builder.redirectInput(new File("/dev/null"));
+        return builder;
     }
 
-    private Result done(ProcessBuilder b) throws Exception {
+    private Result runChild(ProcessBuilder builder) throws Exception {
         File err = folder.resolve("err").toFile();
-        Process p = b.redirectError(err).start();
-        opened.add(p::destroyForcibly);
-        try (InputStream in = p.getInputStream()) {
+        Process process = builder.redirectError(err).start();
+        opened.add(process::destroyForcibly);
+        try (InputStream in = process.getInputStream()) {
             String out = new String(in.readAllBytes(), StandardCharsets.UTF_8);
-            return new Result(p.waitFor(), out, Files.readString(err.toPath()));
+            return new Result(process.waitFor(), out, Files.readString(err.toPath()));
         }
     }
 
@@ -179,34 +179,34 @@
 
     @Test
     void checkReportsWhetherSiteFileIsValid() throws Exception {
-        run("check", file).code(0).says("s: 2 instances, valid");
-        run("check", Path.of("..", "deploy", "local-site.json")).code(0).says("instances, valid");
+        run("check", file).code(0).prints("s: 2 instances, valid");
+        run("check", Path.of("..", "deploy", "local-site.json")).code(0).prints("instances, valid");
         assertEquals(
                 Map.of("site", "s", "instances", 2),
                 run("check", "-o", "json", file).code(0).json());
         Files.writeString(file, SITE.replace("\"count\"", "\"cuont\""));
         Result bad = run("check", "-o", "json", file).code(4);
-        bad.says("cacheproxyctl: instances[0].cuont is not known; meant is perhaps count");
+        bad.prints("cacheproxyctl: instances[0].cuont is not known; meant is perhaps count");
         assertEquals("", bad.out());
         assertEquals(
                 "cacheproxyctl: " + folder.resolve("none") + " does not exist\n",
                 run("check", folder.resolve("none")).code(4).err());
-        run("check", folder).code(4).says(folder + " cannot be read: ");
-        run("check").code(2).says("FILE");
-        run("check", "-o", "yaml", file).code(2).says("--output: expected table or json, got yaml");
+        run("check", folder).code(4).prints(folder + " cannot be read: ");
+        run("check").code(2).prints("FILE");
+        run("check", "-o", "yaml", file).code(2).prints("--output: expected table or json, got yaml");
     }
 
     @Test
     void checkReadsStandardInput() throws Exception {
-        ProcessBuilder b = child("check", "-").redirectInput(file.toFile());
-        done(b).code(0).says("s: 2 instances");
+        ProcessBuilder builder = child("check", "-").redirectInput(file.toFile());
+        runChild(builder).code(0).prints("s: 2 instances");
     }
 
     @Test
     void helpListsEveryCommandAndExitCode() {
         Result help = run("--help").code(0);
-        help.says(COMMANDS.toArray(String[]::new));
-        help.says(
+        help.prints(COMMANDS.toArray(String[]::new));
+        help.prints(
                 "Exit codes:",
                 "0   done",
                 "1   done, but something is not in its desired state",
@@ -214,23 +214,23 @@
                 "3   an agent is unreachable",
                 "4   refused, nothing was changed",
                 "5   timed out");
-        run("--version").code(0).says("cacheproxyctl 0.1.0");
-        run().code(2).says("Usage: cacheproxyctl");
-        run("lits").code(2).says("lits");
-        run("list", "--colour").code(2).says("--colour");
-        run("list", "-a", "/").code(2).says("expected an agent's state folder, got '/'");
-        run("list", "-a", "x=").code(2).says("expected an agent's state folder, got 'x='");
+        run("--version").code(0).prints("cacheproxyctl 0.1.0");
+        run().code(2).prints("Usage: cacheproxyctl");
+        run("lits").code(2).prints("lits");
+        run("list", "--colour").code(2).prints("--colour");
+        run("list", "-a", "/").code(2).prints("expected an agent's state folder, got '/'");
+        run("list", "-a", "x=").code(2).prints("expected an agent's state folder, got 'x='");
     }
 
     @Test
     void completionScriptContainsEveryCommand() throws Exception {
-        Result done = run("completion").code(0);
-        done.says("complete -F", "--max-down", "--no-wait");
-        done.says(COMMANDS.toArray(String[]::new));
-        Path script = Files.writeString(folder.resolve("script"), done.out());
-        Process p =
+        Result result = run("completion").code(0);
+        result.prints("complete -F", "--max-down", "--no-wait");
+        result.prints(COMMANDS.toArray(String[]::new));
+        Path script = Files.writeString(folder.resolve("script"), result.out());
+        Process process =
                 new ProcessBuilder("bash", "-n", script.toString()).inheritIO().start();
-        assertEquals(0, p.waitFor());
+        assertEquals(0, process.waitFor());
     }
 
     // ---- list and status ----
@@ -238,7 +238,7 @@
     @Test
     void listShowsEachInstanceAndExitsWithZeroIfAllAreInDesiredState() {
         ScriptedAgent a = agent("a")
-                .lists(List.of(
+                .listsInTurn(List.of(
                         instance("n0", "ready", "pid", 77, "listen", "127.0.0.1:1"),
                         instance("n1", "stopped", "wanted", false, "exitCode", "0")));
         Result table = ctl("list").code(0);
@@ -251,10 +251,10 @@
                         "a|n1|stopped|1500 ms|1|not declared to run; exit code 0"),
                 lines);
         assertEquals("", table.err());
-        Map<String, Object> told = ctl("list", "-o", "json").code(0).agents().get(0);
-        assertEquals(Set.of("agent", "reachable", "site", "agentPid", "instances"), told.keySet());
-        assertEquals("a", told.get("agent"));
-        assertEquals(true, told.get("reachable"));
+        Map<String, Object> listing = ctl("list", "-o", "json").code(0).agents().get(0);
+        assertEquals(Set.of("agent", "reachable", "site", "agentPid", "instances"), listing.keySet());
+        assertEquals("a", listing.get("agent"));
+        assertEquals(true, listing.get("reachable"));
         assertEquals(
                 Map.of(
                         "name",
@@ -271,8 +271,8 @@
                         77,
                         "listen",
                         "127.0.0.1:1"),
-                objects(told.get("instances")).get(0));
-        assertEquals(Set.of("list"), Set.copyOf(a.ops()));
+                objects(listing.get("instances")).get(0));
+        assertEquals(Set.of("list"), Set.copyOf(a.operations()));
     }
 
     @Test
@@ -291,37 +291,37 @@
                 "draining",
                 "stopping",
                 "declared")) {
-            a.lists(List.of(instance("n0", "ready"), instance("n1", state, "crashes", 3)));
-            ctl("list").code(1).says(state, "crashes in a row: 3");
+            a.listsInTurn(List.of(instance("n0", "ready"), instance("n1", state, "crashes", 3)));
+            ctl("list").code(1).prints(state, "crashes in a row: 3");
         }
         for (String state : List.of("ready", "hung", "stopping", "adopted")) {
-            a.lists(List.of(instance("n0", state, "wanted", false)));
-            ctl("list").code(1).says(state, "not declared to run");
+            a.listsInTurn(List.of(instance("n0", state, "wanted", false)));
+            ctl("list").code(1).prints(state, "not declared to run");
         }
-        a.lists(List.of(
+        a.listsInTurn(List.of(
                 instance("n0", "ready", "refused", "tenants: no", "trouble", "configuration refused: tenants: no")));
-        ctl("list").code(1).says("configuration refused: tenants: no");
-        a.lists(List.of(instance("n0", "ready", "needRestart", true)));
-        ctl("list").code(0).says("needs a restart to apply the declared settings");
+        ctl("list").code(1).prints("configuration refused: tenants: no");
+        a.listsInTurn(List.of(instance("n0", "ready", "needRestart", true)));
+        ctl("list").code(0).prints("needs a restart to apply the declared settings");
         Map<String, Object> more = listed(List.of());
         more.put("trouble", "the journal cannot be written");
         more.put("rolling", "1 of 3");
         a.replies("list", more);
-        ctl("list").code(0).says("trouble", "the journal cannot be written", "rolling", "1 of 3");
+        ctl("list").code(0).prints("trouble", "the journal cannot be written", "rolling", "1 of 3");
     }
 
     @Test
     void statusShowsFieldsReportedByInstances() {
-        Map<String, Object> told = new LinkedHashMap<>(Map.of("v", 1, "ok", true, "clients", 12));
+        Map<String, Object> status = new LinkedHashMap<>(Map.of("v", 1, "ok", true, "clients", 12));
         ScriptedAgent a = agent().replies(
-                        "status", Map.of("site", "s", "instances", List.of(instance("n0", "ready", "told", told))));
+                        "status", Map.of("site", "s", "instances", List.of(instance("n0", "ready", "told", status))));
         Result table = ctl("status", "n0").code(0);
-        table.says("\nn0:\n", "\n  clients: 12\n");
+        table.prints("\nn0:\n", "\n  clients: 12\n");
         assertFalse(table.out().contains("ok:"), table.out());
         assertEquals(List.of("n0"), a.last("status").get("names"));
         Map<String, Object> json = ctl("status", "-o", "json").code(0).agents().get(0);
-        Map<String, Object> one = objects(json.get("instances")).get(0);
-        assertEquals(12, ((Map<?, ?>) one.get("told")).get("clients"));
+        Map<String, Object> listedInstance = objects(json.get("instances")).get(0);
+        assertEquals(12, ((Map<?, ?>) listedInstance.get("told")).get("clients"));
         assertEquals(List.of(), a.last("status").get("names"));
         a.refuses("status", "no instance is named n9");
         assertEquals(
@@ -334,7 +334,7 @@
     @Test
     void listShowsInstancesOfSeveralAgents() {
         ScriptedAgent a = agent();
-        ScriptedAgent b = agent("b").lists(List.of(instance("n0", "ready")));
+        ScriptedAgent b = agent("b").listsInTurn(List.of(instance("n0", "ready")));
         Object[] both = {"list", "-o", "json", "-a", "x=" + a.folder, "-a", b.folder};
         List<Map<String, Object>> agents = run(both).code(0).agents();
         assertEquals(List.of("x", "b"), agents.stream().map(o -> o.get("agent")).toList());
@@ -343,24 +343,24 @@
                 agents.stream().map(o -> objects(o.get("instances")).size()).toList());
 
         b.refuses("list", "too many connections");
-        Result done = run("list", "-a", "x=" + a.folder, "-a", b.folder).code(4);
-        done.says("x      n0    ready", "b      -     refused", "agent b: too many connections");
+        Result result = run("list", "-a", "x=" + a.folder, "-a", b.folder).code(4);
+        result.prints("x      n0    ready", "b      -     refused", "agent b: too many connections");
         b.close();
-        run("list", "-a", "x=" + a.folder, "-a", b.folder).code(3).says("x      n0    ready", "unreachable");
+        run("list", "-a", "x=" + a.folder, "-a", b.folder).code(3).prints("x      n0    ready", "unreachable");
     }
 
     @Test
     void statusShowsInstanceKnownToOnlyOneAgent() {
         ScriptedAgent a = agent().replies("status", Map.of("site", "s", "instances", List.of(instance("n0", "ready"))));
         ScriptedAgent b = agent("b").refuses("status", "no instance is named n0");
-        Result done = run("status", "n0", "-a", a.folder, "-a", b.folder).code(4);
-        done.says("a      n0    ready", "agent b: no instance is named n0");
+        Result result = run("status", "n0", "-a", a.folder, "-a", b.folder).code(4);
+        result.prints("a      n0    ready", "agent b: no instance is named n0");
     }
 
     @Test
     void commandsForOneAgentRejectSeveralAgents() {
         ScriptedAgent a = agent();
-        ScriptedAgent b = agent("b").lists(List.of());
+        ScriptedAgent b = agent("b").listsInTurn(List.of());
         for (List<Object> args : List.<List<Object>>of(
                 List.of("apply", file),
                 List.of("diff", file),
@@ -371,84 +371,86 @@
                 List.of("events"))) {
             List<Object> both = new ArrayList<>(args);
             both.addAll(List.of("-a", a.folder, "-a", b.folder));
-            run(both.toArray()).code(2).says("several agents selected: choose one with --agent");
+            run(both.toArray()).code(2).prints("several agents selected: choose one with --agent");
         }
-        assertEquals(List.of(), a.ops());
+        assertEquals(List.of(), a.operations());
     }
 
     @Test
     void readsAgentsFromEnvironment() throws Exception {
         agent();
-        agent("b").lists(List.of());
+        agent("b").listsInTurn(List.of());
         ProcessBuilder two = child("list", "-o", "json");
         two.environment().put("CACHEPROXY_AGENTS", "x=a, b");
-        List<Map<String, Object>> agents = done(two).code(0).agents();
+        List<Map<String, Object>> agents = runChild(two).code(0).agents();
         assertEquals(List.of("x", "b"), agents.stream().map(o -> o.get("agent")).toList());
         ProcessBuilder earlier = child("list", "-o", "json");
         earlier.environment().put("HATCH_AGENTS", "x=a, b");
-        assertEquals(agents, done(earlier).code(0).agents());
+        assertEquals(agents, runChild(earlier).code(0).agents());
         ProcessBuilder both = child("list", "-o", "json");
         both.environment().put("HATCH_AGENTS", "x=a, b");
         both.environment().put("CACHEPROXY_AGENTS", "y=b");
-        agents = done(both).code(0).agents();
+        agents = runChild(both).code(0).agents();
         assertEquals(List.of("y"), agents.stream().map(o -> o.get("agent")).toList());
-        done(child("list")).code(3).says("local", "unreachable", "its instances are unknown");
+        runChild(child("list")).code(3).prints("local", "unreachable", "its instances are unknown");
     }
 
     // ---- unreachable agents ----
 
     @Test
     void listShowsLastListingAndItsAgeForUnreachableAgent() throws Exception {
-        ScriptedAgent a = agent("a").lists(List.of(instance("n0", "ready", "pid", 77)));
-        done(child("list", "-a", "a")).code(0);
+        ScriptedAgent a = agent("a").listsInTurn(List.of(instance("n0", "ready", "pid", 77)));
+        runChild(child("list", "-a", "a")).code(0);
         a.close();
-        Result table = done(child("list", "-a", "a")).code(3);
-        table.says("unreachable", "below: last listing, ", " ago", "unknown (ready)");
+        Result table = runChild(child("list", "-a", "a")).code(3);
+        table.prints("unreachable", "below: last listing, ", " ago", "unknown (ready)");
         assertFalse(table.out().contains("stopped"), table.out());
-        Map<String, Object> told =
-                done(child("list", "-a", "a", "-o", "json")).code(3).agents().get(0);
-        assertEquals(false, told.get("reachable"));
-        assertTrue(((Number) told.get("ageMs")).longValue() > 0, told.toString());
-        String error = String.valueOf(told.get("error"));
+        Map<String, Object> listing = runChild(child("list", "-a", "a", "-o", "json"))
+                .code(3)
+                .agents()
+                .get(0);
+        assertEquals(false, listing.get("reachable"));
+        assertTrue(((Number) listing.get("ageMs")).longValue() > 0, listing.toString());
+        String error = String.valueOf(listing.get("error"));
         assertTrue(error.startsWith("agent a cannot be reached at "), error);
-        assertEquals("ready", objects(told.get("instances")).get(0).get("state"));
-
-        Path kept = folder.resolve("cache").resolve("cacheproxyctl");
-        Path earlier = folder.resolve("cache").resolve("hatchctl");
-        Files.move(kept, earlier);
-        done(child("list", "-a", "a")).code(3).says("unreachable", "below: last listing, ", "unknown (ready)");
-        Files.move(earlier, kept);
-        try (Stream<Path> all = Files.list(kept)) {
-            for (Path p : all.toList()) {
-                Files.writeString(p, "{\"instances\":"); // torn
+        assertEquals("ready", objects(listing.get("instances")).get(0).get("state"));
+
+        Path cacheFolder = folder.resolve("cache").resolve("cacheproxyctl");
+        Path earlierCacheFolder = folder.resolve("cache").resolve("hatchctl");
+        Files.move(cacheFolder, earlierCacheFolder);
+        runChild(child("list", "-a", "a")).code(3).prints("unreachable", "below: last listing, ", "unknown (ready)");
+        Files.move(earlierCacheFolder, cacheFolder);
+        try (Stream<Path> cachedFiles = Files.list(cacheFolder)) {
+            for (Path cachedFile : cachedFiles.toList()) {
+                Files.writeString(cachedFile, "{\"instances\":"); // torn
             }
         }
-        done(child("list", "-a", "a")).code(3).says("unreachable", "its instances are unknown");
+        runChild(child("list", "-a", "a")).code(3).prints("unreachable", "its instances are unknown");
         ProcessBuilder empty = child("list", "-a", "a");
         empty.environment().put("XDG_CACHE_HOME", "");
         empty.environment().put("JDK_JAVA_OPTIONS", "-Duser.home=" + folder);
-        done(empty).code(3);
+        runChild(empty).code(3);
         assertFalse(Files.exists(folder.resolve("cacheproxyctl")), "an empty XDG_CACHE_HOME must count as not set");
     }
 
     @Test
     void replyFieldsDoNotOverrideAgentNameOrReachability() {
-        Map<String, Object> told = listed(List.of(instance("n0", "ready")));
-        told.put("agent", "b");
-        told.put("reachable", true);
-        ScriptedAgent a = agent("a").replies("list", told);
-        ctl("list").code(0).says("a      n0");
+        Map<String, Object> listing = listed(List.of(instance("n0", "ready")));
+        listing.put("agent", "b");
+        listing.put("reachable", true);
+        ScriptedAgent a = agent("a").replies("list", listing);
+        ctl("list").code(0).prints("a      n0");
         a.close();
-        Result done = ctl("list").code(3).says("unreachable", "unknown (ready)");
-        assertFalse(done.out().contains("\nb "), done.out());
+        Result result = ctl("list").code(3).prints("unreachable", "unknown (ready)");
+        assertFalse(result.out().contains("\nb "), result.out());
     }
 
     @Test
     void everyOtherCommandReportsUnreachableAgent() {
         for (List<Object> args : commands()) {
-            Result done = ctl(args.toArray()).code(3);
-            done.says("agent a");
-            assertEquals("", done.out());
+            Result result = ctl(args.toArray()).code(3);
+            result.prints("agent a");
+            assertEquals("", result.out());
         }
     }
 
@@ -469,27 +471,27 @@
     }
 
     /** Sends these bytes on each connection, and closes it unless {@code hang} is set. */
-    private void raw(String bytes, boolean hang) throws IOException {
-        Path at = Files.createDirectories(folder.resolve("a")).resolve("agent.sock");
-        Files.deleteIfExists(at);
+    private void serveRawReplies(String bytes, boolean hang) throws IOException {
+        Path socket = Files.createDirectories(folder.resolve("a")).resolve("agent.sock");
+        Files.deleteIfExists(socket);
         ServerSocketChannel server = ServerSocketChannel.open(StandardProtocolFamily.UNIX);
-        server.bind(UnixDomainSocketAddress.of(at));
+        server.bind(UnixDomainSocketAddress.of(socket));
         opened.add(server);
         Thread thread = new Thread(
                 () -> {
                     try {
                         while (true) {
-                            SocketChannel c = server.accept();
-                            opened.add(c);
-                            ByteBuffer in = ByteBuffer.allocate(1 << 16);
-                            while (in.position() == 0 || in.get(in.position() - 1) != '\n') {
-                                if (c.read(in) < 0) {
+                            SocketChannel connection = server.accept();
+                            opened.add(connection);
+                            ByteBuffer request = ByteBuffer.allocate(1 << 16);
+                            while (request.position() == 0 || request.get(request.position() - 1) != '\n') {
+                                if (connection.read(request) < 0) {
                                     break;
                                 }
                             }
-                            c.write(ByteBuffer.wrap(bytes.getBytes(StandardCharsets.UTF_8)));
+                            connection.write(ByteBuffer.wrap(bytes.getBytes(StandardCharsets.UTF_8)));
                             if (!hang) {
-                                c.close();
+                                connection.close();
                             }
                         }
                     } catch (IOException e) {
@@ -503,50 +505,50 @@
 
     @Test
     void reportsMalformedReply() throws IOException {
-        Map<String, String> each = new LinkedHashMap<>();
-        each.put("", "the other side has ended the connection");
-        each.put("{\"v\":1,\"ok\":tr", "the other side has ended the connection");
-        each.put("HTTP/1.1 400 Bad Request\r\n", "a reply that is no JSON object");
-        each.put("[1,2]\n", "a reply that is no JSON object");
-        each.put("null\n", "a reply that is no JSON object");
-        each.put("{}\n", "sent a malformed reply");
-        each.put("{\"v\":1,\"ok\":true,\"end\":true}\n", "sent a malformed reply");
-        each.put("{\"v\":1,\"ok\":\"yes\",\"instances\":[],\"end\":true}\n", "sent a malformed reply");
-        each.put(
+        Map<String, String> messagesByReply = new LinkedHashMap<>();
+        messagesByReply.put("", "the other side has ended the connection");
+        messagesByReply.put("{\"v\":1,\"ok\":tr", "the other side has ended the connection");
+        messagesByReply.put("HTTP/1.1 400 Bad Request\r\n", "a reply that is no JSON object");
+        messagesByReply.put("[1,2]\n", "a reply that is no JSON object");
+        messagesByReply.put("null\n", "a reply that is no JSON object");
+        messagesByReply.put("{}\n", "sent a malformed reply");
+        messagesByReply.put("{\"v\":1,\"ok\":true,\"end\":true}\n", "sent a malformed reply");
+        messagesByReply.put("{\"v\":1,\"ok\":\"yes\",\"instances\":[],\"end\":true}\n", "sent a malformed reply");
+        messagesByReply.put(
                 "{\"v\":1,\"ok\":true,\"instances\":7,\"events\":{},\"results\":1,\"unchanged\":\"\","
                         + "\"text\":9,\"end\":true}\n",
                 "sent a malformed reply");
-        for (Map.Entry<String, String> e : each.entrySet()) {
-            raw(e.getKey(), false);
+        for (Map.Entry<String, String> entry : messagesByReply.entrySet()) {
+            serveRawReplies(entry.getKey(), false);
             for (List<Object> args : commands()) {
-                ctl(args.toArray()).code(3).says("cacheproxyctl: agent a", e.getValue());
+                ctl(args.toArray()).code(3).prints("cacheproxyctl: agent a", entry.getValue());
             }
             Result list = ctl("list", "-o", "json").code(3);
             assertEquals(false, list.agents().get(0).get("reachable"));
-            list.says(e.getValue());
+            list.prints(entry.getValue());
         }
     }
 
     @Test
     void handlesReplyFieldsOfWrongType() throws IOException {
-        raw(
+        serveRawReplies(
                 "{\"v\":1,\"ok\":true,\"instances\":[7,{\"name\":null,\"start\":\"x\"}],\"events\":[1,{}],"
                         + "\"results\":{},\"unchanged\":0,\"text\":\"t\",\"rolling\":\"r\",\"end\":true}\n",
                 false);
         ctl("list").code(1);
         ctl("status").code(1);
-        ctl("events").code(0).says("null");
-        ctl("logs", "n0").code(3).says("sent a reply without a number in next");
-        ctl("rolling-restart").code(3).says("sent a reply without a number in next");
-        ctl("start", "n0").code(3).says("sent a reply without a number in start");
+        ctl("events").code(0).prints("null");
+        ctl("logs", "n0").code(3).prints("sent a reply without a number in next");
+        ctl("rolling-restart").code(3).prints("sent a reply without a number in next");
+        ctl("start", "n0").code(3).prints("sent a reply without a number in start");
     }
 
     @Test
     void silentAgentTimesOutAfterFiveSeconds() throws IOException {
-        raw("", true);
+        serveRawReplies("", true);
         long begin = System.nanoTime();
-        Result done = ctl("list").code(3).says("unreachable", "its instances are unknown");
-        assertFalse(done.out().contains("stopped"), done.out());
+        Result result = ctl("list").code(3).prints("unreachable", "its instances are unknown");
+        assertFalse(result.out().contains("stopped"), result.out());
         long ms = TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - begin);
         assertTrue(ms >= 4_900 && ms < 20_000, ms + " ms");
     }
@@ -583,7 +585,7 @@
             Map<String, Object> plan = plan(List.of(), List.of());
             plan.put(part, List.of("n7"));
             a.replies("apply", plan);
-            ctl("diff", file).code(1).says(part + " n7");
+            ctl("diff", file).code(1).prints(part + " n7");
         }
         a.replies("apply", plan(List.of(), List.of()));
         assertEquals("1 unchanged\n", ctl("diff", file).code(0).out());
@@ -592,21 +594,21 @@
         assertEquals(
                 "cacheproxyctl: agent a: instances[0].name is missing\n",
                 ctl("diff", file).code(4).err());
-        ctl("diff", folder.resolve("none")).code(4).says("does not exist");
+        ctl("diff", folder.resolve("none")).code(4).prints("does not exist");
     }
 
     @Test
     void applyWaitsForDeclaredStateAndPrintsProgress() {
         ScriptedAgent a = agent("a")
                 .replies("apply", plan(List.of("n0"), List.of()))
-                .lists(
+                .listsInTurn(
                         List.of(instance("n0", "starting")),
                         List.of(instance("n0", "starting")),
                         List.of(instance("n0", "ready"), instance("n1", "stopped", "wanted", false)));
-        Result done = ctl("apply", file).code(0);
-        assertEquals("added n0\n1 unchanged\n", done.out());
-        assertEquals("n0 starting\nn0 ready\nn1 stopped: not declared to run\n", done.err());
-        assertEquals(List.of("apply", "list", "list", "list"), a.ops());
+        Result result = ctl("apply", file).code(0);
+        assertEquals("added n0\n1 unchanged\n", result.out());
+        assertEquals("n0 starting\nn0 ready\nn1 stopped: not declared to run\n", result.err());
+        assertEquals(List.of("apply", "list", "list", "list"), a.operations());
         assertFalse(a.last("apply").containsKey("dry"));
         assertEquals(SITE, a.last("apply").get("site"));
         Result json = ctl("apply", "-o", "json", file).code(0);
@@ -618,22 +620,22 @@
     void applyExitsWithCodeOfOutcome() {
         ScriptedAgent a = agent("a")
                 .replies("apply", plan(List.of("n0"), List.of()))
-                .lists(List.of(instance("n0", "given up", "crashes", 5), instance("n1", "ready")));
+                .listsInTurn(List.of(instance("n0", "given up", "crashes", 5), instance("n1", "ready")));
         ctl("apply", file)
                 .code(1)
-                .says("n0 given up: crashes in a row: 5", "cacheproxyctl: not in the desired state: n0\n");
-        a.lists(List.of(instance("n0", "starting"), instance("n1", "backing off")));
-        ctl("apply", "--timeout", 0, file).code(5).says("cacheproxyctl: not in the desired state: n0, n1\n");
-        a.lists(List.of(instance("n0", "ready", "refused", "no", "trouble", "configuration refused: no")));
-        ctl("apply", file).code(1).says("n0 ready: configuration refused: no", "not in the desired state: n0");
+                .prints("n0 given up: crashes in a row: 5", "cacheproxyctl: not in the desired state: n0\n");
+        a.listsInTurn(List.of(instance("n0", "starting"), instance("n1", "backing off")));
+        ctl("apply", "--timeout", 0, file).code(5).prints("cacheproxyctl: not in the desired state: n0, n1\n");
+        a.listsInTurn(List.of(instance("n0", "ready", "refused", "no", "trouble", "configuration refused: no")));
+        ctl("apply", file).code(1).prints("n0 ready: configuration refused: no", "not in the desired state: n0");
         a.requests.clear();
         ctl("apply", "--no-wait", file).code(0);
-        assertEquals(List.of("apply"), a.ops());
+        assertEquals(List.of("apply"), a.operations());
         a.requests.clear();
         a.refuses("apply", "the journal cannot be written: nothing is changed");
         Result no = ctl("apply", file).code(4);
         assertEquals("cacheproxyctl: agent a: the journal cannot be written: nothing is changed\n", no.err());
-        assertEquals(List.of("apply"), a.ops());
+        assertEquals(List.of("apply"), a.operations());
     }
 
     // ---- operations on instances ----
@@ -648,35 +650,35 @@
             ctl(op, "--no-wait", "--all").code(0);
             assertEquals(List.of(), a.last(op).get("names"));
             a.requests.clear();
-            ctl(op).code(2).says("name instances or use --all");
-            ctl(op, "--all", "n0").code(2).says("name instances or use --all");
-            assertEquals(List.of(), a.ops());
+            ctl(op).code(2).prints("name instances or use --all");
+            ctl(op, "--all", "n0").code(2).prints("name instances or use --all");
+            assertEquals(List.of(), a.operations());
             a.replies(op, Map.of("results", Map.of("n0", "", "n9", "no instance is named n9")));
             Result some = ctl(op, "n0", "n9").code(1);
             assertEquals("cacheproxyctl: n9: no instance is named n9\n", some.err());
             a.refuses(op, "names: a list is needed, empty for all");
-            ctl(op, "n0").code(4).says("agent a: names: a list is needed");
+            ctl(op, "n0").code(4).prints("agent a: names: a list is needed");
         }
     }
 
     @Test
     void operationsWaitForTheirEffect() {
-        Map<String, Object> done = Map.of("results", Map.of("n0", ""));
+        Map<String, Object> reply = Map.of("results", Map.of("n0", ""));
         ScriptedAgent a =
-                agent("a").replies("start", done).replies("stop", done).replies("reload", done);
+                agent("a").replies("start", reply).replies("stop", reply).replies("reload", reply);
         List<Map<String, Object>> other = List.of(instance("n0", "ready"), instance("n1", "crashed"));
-        a.lists(other);
+        a.listsInTurn(other);
         ctl("start", "n0").code(0); // the state of n1 does not matter
-        ctl("stop", "--timeout", 0, "n0").code(5).says("not in the desired state: n0");
-        a.lists(List.of(instance("n0", "stopped", "wanted", false)));
-        ctl("stop", "n0").code(0).says("n0 stopped: not declared to run");
-        a.lists(List.of());
+        ctl("stop", "--timeout", 0, "n0").code(5).prints("not in the desired state: n0");
+        a.listsInTurn(List.of(instance("n0", "stopped", "wanted", false)));
+        ctl("stop", "n0").code(0).prints("n0 stopped: not declared to run");
+        a.listsInTurn(List.of());
         ctl("stop", "n0").code(0); // a removed instance counts as ended
-        ctl("start", "n0").code(1).says("not in the desired state: n0");
-        a.lists(List.of(instance("n0", "hung", "wanted", false)));
-        ctl("stop", "--timeout", 0, "n0").code(5).says("n0 hung");
-        a.lists(List.of(instance("n0", "given up")));
-        ctl("start", "n0").code(1).says("n0 given up");
+        ctl("start", "n0").code(1).prints("not in the desired state: n0");
+        a.listsInTurn(List.of(instance("n0", "hung", "wanted", false)));
+        ctl("stop", "--timeout", 0, "n0").code(5).prints("n0 hung");
+        a.listsInTurn(List.of(instance("n0", "given up")));
+        ctl("start", "n0").code(1).prints("n0 given up");
     }
 
     @Test
@@ -684,69 +686,76 @@
         ScriptedAgent a = agent("a").replies("reload", Map.of("results", Map.of("n0", "")));
         Object[] old = {"refused", "old", "trouble", "configuration refused: old"};
         Object[] now = {"refused", "new", "trouble", "configuration refused: new"};
-        a.lists(
+        a.listsInTurn(
                 List.of(instance("n0", "ready", old)),
                 List.of(instance("n0", "reloading", old)),
                 List.of(instance("n0", "ready")));
         ctl("reload", "n0").code(0);
         ScriptedAgent b = agent("b").replies("reload", Map.of("results", Map.of("n0", "")));
-        b.lists(
+        b.listsInTurn(
                 List.of(instance("n0", "ready")),
                 List.of(instance("n0", "reloading")),
                 List.of(instance("n0", "ready", now)));
         run("reload", "n0", "-a", b.folder)
                 .code(1)
-                .says("n0 ready: configuration refused: new", "not in the desired state: n0");
+                .prints("n0 ready: configuration refused: new", "not in the desired state: n0");
     }
 
     @Test
     void restartWaitsUntilNewStartIsReady() {
         ScriptedAgent a = agent("a").replies("restart", Map.of("results", Map.of("n0", "", "n1", "")));
-        a.lists(
+        a.listsInTurn(
                 List.of(instance("n0", "ready"), instance("n1", "ready", "start", 11)),
                 List.of(instance("n0", "ready"), instance("n1", "ready", "start", 12)),
                 List.of(instance("n0", "ready", "start", 2), instance("n1", "starting", "start", 12)),
                 List.of(instance("n0", "ready", "start", 2), instance("n1", "ready", "start", 12)));
         ctl("restart", "--all").code(0);
-        assertEquals(List.of("list", "restart", "list", "list", "list"), a.ops());
-        a.lists(List.of(instance("n0", "ready", "start", 2)));
-        ctl("restart", "--timeout", 0, "n0").code(5).says("not in the desired state: n0");
+        assertEquals(List.of("list", "restart", "list", "list", "list"), a.operations());
+        a.listsInTurn(List.of(instance("n0", "ready", "start", 2)));
+        ctl("restart", "--timeout", 0, "n0").code(5).prints("not in the desired state: n0");
     }
 
     @Test
     void waitExitsOnSuccessFailureOrTimeout() {
         ScriptedAgent a = agent("a")
-                .lists(
+                .listsInTurn(
                         List.of(instance("n0", "starting")),
                         List.of(instance("n0", "starting")),
                         List.of(instance("n0", "ready")));
         assertEquals("n0 starting\nn0 ready\n", ctl("wait", "n0").code(0).err());
-        assertEquals(Set.of("list"), Set.copyOf(a.ops()));
+        assertEquals(Set.of("list"), Set.copyOf(a.operations()));
         ctl("wait").code(0);
-        ctl("wait", "--for", "stopped", "--timeout", 0).code(5).says("not in the desired state: n0");
-        a.lists(List.of(instance("n0", "stopped", "wanted", false), instance("n1", "ready")));
+        ctl("wait", "--for", "stopped", "--timeout", 0).code(5).prints("not in the desired state: n0");
+        a.listsInTurn(List.of(instance("n0", "stopped", "wanted", false), instance("n1", "ready")));
         ctl("wait", "--for", "stopped", "n0").code(0);
         ctl("wait", "--timeout", 0, "n0").code(5); // an instance that is named must be ready
         ctl("wait").code(0);
-        a.lists(List.of(instance("n0", "given up")));
-        ctl("wait").code(1).says("not in the desired state: n0");
+        a.listsInTurn(List.of(instance("n0", "given up")));
+        ctl("wait").code(1).prints("not in the desired state: n0");
         for (String what : List.of("ready", "stopped")) {
             assertEquals(
                     "cacheproxyctl: agent a: no instance is named n9\n",
                     ctl("wait", "--for", what, "n9").code(4).err());
         }
-        ctl("wait", "--for", "good").code(2).says("--for: expected ready or stopped, got good");
-        ctl("wait", "--timeout", "x").code(2).says("--timeout");
-    }
-
-    private static Map<String, Object> events(long next, String... whats) {
-        List<Object> some = new ArrayList<>();
-        for (String what : whats) {
-            String[] words = what.split(":", 2);
-            some.add(Map.of(
-                    "number", next - whats.length + some.size(), "time", "t", "name", words[0], "what", words[1]));
+        ctl("wait", "--for", "good").code(2).prints("--for: expected ready or stopped, got good");
+        ctl("wait", "--timeout", "x").code(2).prints("--timeout");
+    }
+
+    private static Map<String, Object> events(long next, String... namesAndDescriptions) {
+        List<Object> events = new ArrayList<>();
+        for (String event : namesAndDescriptions) {
+            String[] nameAndDescription = event.split(":", 2);
+            events.add(Map.of(
+                    "number",
+                    next - namesAndDescriptions.length + events.size(),
+                    "time",
+                    "t",
+                    "name",
+                    nameAndDescription[0],
+                    "what",
+                    nameAndDescription[1]));
         }
-        return Map.of("events", some, "next", next);
+        return Map.of("events", events, "next", next);
     }
 
     @Test
@@ -754,24 +763,24 @@
         ScriptedAgent a = agent("a").replies("roll", Map.of("rolling", "0 of 2"));
         a.on(
                 "events",
-                (nth, request, to) -> to.end(
+                (nth, request, responder) -> responder.end(
                         switch (nth) {
                             case 0 -> events(8);
                             case 1 -> events(10, ":rolling restart 1 of 2 begins, 2 at once", "n0:stopping");
                             case 2 -> events(10);
                             default -> events(11, ":rolling restart 1 is done");
                         }));
-        Result done = ctl("rolling-restart", "--max-down", 2, "n1", "n0").code(0);
+        Result result = ctl("rolling-restart", "--max-down", 2, "n1", "n0").code(0);
         assertEquals(
-                " rolling restart 1 of 2 begins, 2 at once\nn0 stopping\n rolling restart 1 is done\n", done.err());
+                " rolling restart 1 of 2 begins, 2 at once\nn0 stopping\n rolling restart 1 is done\n", result.err());
         assertEquals(List.of("n1", "n0"), a.last("roll").get("names"));
         assertEquals(2, a.last("roll").get("mostDown"));
-        assertEquals(List.of("events", "roll", "events", "events", "events"), a.ops());
-        List<Object> froms = a.requests.stream()
-                .filter(r -> r.get("op").equals("events"))
-                .map(r -> r.get("from"))
+        assertEquals(List.of("events", "roll", "events", "events", "events"), a.operations());
+        List<Object> fromValues = a.requests.stream()
+                .filter(recorded -> recorded.get("op").equals("events"))
+                .map(recorded -> recorded.get("from"))
                 .toList();
-        assertEquals(List.of(Long.MAX_VALUE, 8, 10, 10), froms);
+        assertEquals(List.of(Long.MAX_VALUE, 8, 10, 10), fromValues);
     }
 
     @Test
@@ -779,23 +788,25 @@
         ScriptedAgent a = agent("a").replies("roll", Map.of("rolling", "0 of 2"));
         a.on(
                 "events",
-                (nth, request, to) -> to.end(
+                (nth, request, responder) -> responder.end(
                         nth == 0
                                 ? events(8)
                                 : events(
                                         9,
                                         "n0:rolling restart 1 is done",
                                         ":rolling restart 1 stopped: n0 has crashed")));
-        ctl("rolling-restart").code(1).says("rolling restart 1 stopped: n0 has crashed");
+        ctl("rolling-restart").code(1).prints("rolling restart 1 stopped: n0 has crashed");
         a.replies("events", events(9));
-        ctl("rolling-restart", "--timeout", 0).code(5).says("cacheproxyctl: timed out; the rolling restart continues");
+        ctl("rolling-restart", "--timeout", 0)
+                .code(5)
+                .prints("cacheproxyctl: timed out; the rolling restart continues");
         a.requests.clear();
         ctl("rolling-restart", "--no-wait").code(0);
-        assertEquals(List.of("events", "roll"), a.ops());
+        assertEquals(List.of("events", "roll"), a.operations());
         assertEquals(1, a.last("roll").get("mostDown"));
         a.refuses("roll", "a rolling restart is under way");
-        ctl("rolling-restart").code(4).says("agent a: a rolling restart is under way");
-        ctl("rolling-restart", "--max-down", "x").code(2).says("--max-down");
+        ctl("rolling-restart").code(4).prints("agent a: a rolling restart is under way");
+        ctl("rolling-restart", "--max-down", "x").code(2).prints("--max-down");
     }
 
     // ---- logs and events ----
@@ -806,28 +817,28 @@
         assertEquals("one\n\ttwo\n", ctl("logs", "-c", 100, "n0").code(0).out());
         assertEquals(Map.of("v", 1, "op", "log", "name", "n0", "from", -1, "bytes", 100), a.last("log"));
         ScriptedAgent b = agent("b");
-        b.on("log", (nth, request, to) -> {
+        b.on("log", (nth, request, responder) -> {
             if (nth < 3) {
-                to.end(Map.of("text", nth + "\n", "next", 10 + nth));
+                responder.end(Map.of("text", nth + "\n", "next", 10 + nth));
             } else {
-                to.fail("no instance is named n0"); // removed
+                responder.fail("no instance is named n0"); // removed
             }
         });
-        Result done = run("logs", "-f", "n0", "-a", b.folder).code(4);
-        assertEquals("0\n1\n2\n", done.out());
-        assertEquals("cacheproxyctl: agent b: no instance is named n0\n", done.err());
+        Result result = run("logs", "-f", "n0", "-a", b.folder).code(4);
+        assertEquals("0\n1\n2\n", result.out());
+        assertEquals("cacheproxyctl: agent b: no instance is named n0\n", result.err());
         assertEquals(
                 List.of(-1, 10, 11, 12),
                 b.requests.stream().map(r -> r.get("from")).toList());
-        ctl("logs").code(2).says("NAME");
+        ctl("logs").code(2).prints("NAME");
     }
 
     @Test
     void eventsShowsAndFollowsEvents() throws Exception {
         ScriptedAgent a = agent("a");
-        a.on("events", (nth, request, to) -> {
-            to.part(events(3, ":agent begins", "n0:starting"));
-            to.end(events(4, "n0:ready"));
+        a.on("events", (nth, request, responder) -> {
+            responder.part(events(3, ":agent begins", "n0:starting"));
+            responder.end(events(4, "n0:ready"));
         });
         assertEquals(
                 "t  agent  agent begins\nt  n0  starting\nt  n0  ready\n",
@@ -852,57 +863,58 @@
                 ctl("events").code(4).err());
 
         CompletableFuture<ControlServer.Reply> reply = new CompletableFuture<>();
-        a.on("events", (nth, request, to) -> {
-            to.part(events(2, "n0:ready"));
-            reply.complete(to);
+        a.on("events", (nth, request, responder) -> {
+            responder.part(events(2, "n0:ready"));
+            reply.complete(responder);
         });
-        Process p = child("events", "-f", "-a", "a").redirectErrorStream(true).start();
-        opened.add(p::destroyForcibly);
-        BufferedReader said = p.inputReader(StandardCharsets.UTF_8);
-        assertEquals("t  n0  ready", said.readLine());
+        Process process =
+                child("events", "-f", "-a", "a").redirectErrorStream(true).start();
+        opened.add(process::destroyForcibly);
+        BufferedReader output = process.inputReader(StandardCharsets.UTF_8);
+        assertEquals("t  n0  ready", output.readLine());
         assertEquals(true, a.last("events").get("follow"));
         reply.get(20, TimeUnit.SECONDS).part(events(3, "n0:hung"));
-        assertEquals("t  n0  hung", said.readLine());
+        assertEquals("t  n0  hung", output.readLine());
         reply.get().fail("for the test");
-        assertEquals("cacheproxyctl: agent a: for the test", said.readLine());
-        assertEquals(4, p.waitFor());
+        assertEquals("cacheproxyctl: agent a: for the test", output.readLine());
+        assertEquals(4, process.waitFor());
     }
 
     // ---- interrupted commands ----
 
     @Test
     void interruptedCommandMakesNoFurtherRequests() throws Exception {
-        Map<String, Object> done = Map.of("results", Map.of("n0", ""));
+        Map<String, Object> reply = Map.of("results", Map.of("n0", ""));
         for (boolean kill : new boolean[] {true, false}) {
             ScriptedAgent a = agent(kill ? "k" : "t")
                     .replies("apply", plan(List.of("n0"), List.of()))
-                    .replies("stop", done)
+                    .replies("stop", reply)
                     .replies("roll", Map.of("rolling", "0 of 1"))
                     .replies("events", events(1));
-            a.lists(List.of(instance("n0", "starting")));
+            a.listsInTurn(List.of(instance("n0", "starting")));
             for (List<Object> args :
                     List.<List<Object>>of(List.of("apply", file), List.of("stop", "n0"), List.of("rolling-restart"))) {
                 a.requests.clear();
                 String poll = args.get(0).equals("rolling-restart") ? "events" : "list";
-                CountDownLatch waits = a.awaited(poll, 4); // the command is polling
-                List<Object> all = new ArrayList<>(args);
-                all.addAll(List.of("-a", a.folder));
-                Process p = child(all.toArray())
+                CountDownLatch polls = a.countRequests(poll, 4); // the command is polling
+                List<Object> argumentsWithAgent = new ArrayList<>(args);
+                argumentsWithAgent.addAll(List.of("-a", a.folder));
+                Process process = child(argumentsWithAgent.toArray())
                         .redirectErrorStream(true)
                         .redirectOutput(ProcessBuilder.Redirect.DISCARD)
                         .start();
-                opened.add(p::destroyForcibly);
-                assertTrue(waits.await(20, TimeUnit.SECONDS), a.ops()::toString);
+                opened.add(process::destroyForcibly);
+                assertTrue(polls.await(20, TimeUnit.SECONDS), a.operations()::toString);
                 if (kill) {
-                    p.destroyForcibly();
+                    process.destroyForcibly();
                 } else {
-                    p.destroy();
+                    process.destroy();
                 }
-                assertEquals(kill ? 137 : 143, p.waitFor());
+                assertEquals(kill ? 137 : 143, process.waitFor());
                 String op = args.get(0).equals("rolling-restart") ? "roll" : String.valueOf(args.get(0));
-                assertEquals(1, a.ops().stream().filter(op::equals).count());
-                assertEquals(Set.of(op, poll), Set.copyOf(a.ops()));
-                run("list", "-a", a.folder).code(1).says("n0"); // the agent still answers the next command
+                assertEquals(1, a.operations().stream().filter(op::equals).count());
+                assertEquals(Set.of(op, poll), Set.copyOf(a.operations()));
+                run("list", "-a", a.folder).code(1).prints("n0"); // the agent still answers the next command
             }
         }
     }
@@ -911,7 +923,7 @@
 
     @Test
     void controlCharactersDoNotReachTheTerminal() {
-        Map<String, Object> one = instance(
+        Map<String, Object> listedInstance = instance(
                 CONTROL_CHARACTERS,
                 CONTROL_CHARACTERS,
                 "listen",
@@ -926,12 +938,12 @@
                         CONTROL_CHARACTERS,
                         "nodes",
                         Map.of(CONTROL_CHARACTERS, List.of(CONTROL_CHARACTERS))));
-        Map<String, Object> told = listed(List.of(one));
-        told.put("trouble", CONTROL_CHARACTERS);
-        told.put("rolling", CONTROL_CHARACTERS);
+        Map<String, Object> listing = listed(List.of(listedInstance));
+        listing.put("trouble", CONTROL_CHARACTERS);
+        listing.put("rolling", CONTROL_CHARACTERS);
         Map<String, Object> plan = plan(List.of(CONTROL_CHARACTERS), List.of(CONTROL_CHARACTERS));
         ScriptedAgent a =
-                agent("a").replies("list", told).replies("status", told).replies("apply", plan);
+                agent("a").replies("list", listing).replies("status", listing).replies("apply", plan);
         a.replies("log", Map.of("text", "a\n\tb" + CONTROL_CHARACTERS, "next", 1));
         a.replies(
                 "events",
@@ -941,7 +953,7 @@
                         ":rolling restart " + CONTROL_CHARACTERS + " stopped: "));
         a.replies("roll", Map.of("rolling", CONTROL_CHARACTERS))
                 .replies("start", Map.of("results", Map.of(CONTROL_CHARACTERS, CONTROL_CHARACTERS)));
-        List<List<Object>> all = List.of(
+        List<List<Object>> commands = List.of(
                 List.of("list"),
                 List.of("status"),
                 List.of("diff", file),
@@ -951,32 +963,33 @@
                 List.of("rolling-restart"),
                 List.of("start", "n0"),
                 List.of("wait", "--timeout", 0));
-        for (List<Object> args : all) {
-            Result done = ctl(args.toArray());
-            assertNoControlCharacters(done);
-            done.says("?[2Jx?31m????end");
-            assertTrue(done.code() < 2 || done.code() == 5, done.toString());
-            Result same =
+        for (List<Object> args : commands) {
+            Result result = ctl(args.toArray());
+            assertNoControlCharacters(result);
+            result.prints("?[2Jx?31m????end");
+            assertTrue(result.code() < 2 || result.code() == 5, result.toString());
+            Result jsonResult =
                     ctl(Stream.concat(args.stream(), Stream.of("-o", "json")).toArray());
-            assertNoControlCharacters(same);
+            assertNoControlCharacters(jsonResult);
             if (Set.of("list", "status", "diff").contains(args.get(0))) {
                 assertTrue(
-                        same.json().toString().contains(CONTROL_CHARACTERS),
+                        jsonResult.json().toString().contains(CONTROL_CHARACTERS),
                         "JSON output must contain the text, escaped");
             }
         }
         for (String op : List.of("list", "status", "apply", "log", "events", "roll", "start")) {
             a.refuses(op, CONTROL_CHARACTERS);
         }
-        for (List<Object> args : all) {
-            assertNoControlCharacters(ctl(args.toArray()).code(4).says("agent a: ?[2Jx?31m????end"));
+        for (List<Object> args : commands) {
+            assertNoControlCharacters(ctl(args.toArray()).code(4).prints("agent a: ?[2Jx?31m????end"));
         }
     }
 
-    private static void assertNoControlCharacters(Result done) {
-        String all = done.out() + done.err();
-        all.chars()
-                .forEach(c -> assertTrue(
-                        c == '\n' || c == '\t' || !Character.isISOControl(c), () -> "character " + c + ": " + done));
+    private static void assertNoControlCharacters(Result result) {
+        String output = result.out() + result.err();
+        output.chars()
+                .forEach(character -> assertTrue(
+                        character == '\n' || character == '\t' || !Character.isISOControl(character),
+                        () -> "character " + character + ": " + result));
     }
 }
--- a/fleet/src/test/java/cacheproxy/cli/ScriptedAgent.java
+++ b/fleet/src/test/java/cacheproxy/cli/ScriptedAgent.java
@@ -20,7 +20,7 @@
 final class ScriptedAgent implements Closeable {
     /** Replies to the nth request (from 0) of an operation. */
     interface ReplyScript {
-        void to(int nth, Map<String, Object> request, ControlServer.Reply reply);
+        void send(int nth, Map<String, Object> request, ControlServer.Reply reply);
     }
 
     final Path folder;
@@ -32,81 +32,83 @@
 
     ScriptedAgent(Path folder) {
         this.folder = folder;
-        server = ControlServer.open(loop, folder.resolve("agent.sock"), this::answer);
+        server = ControlServer.open(loop, folder.resolve("agent.sock"), this::handleRequest);
     }
 
-    private void answer(String op, Map<String, Object> request, ControlServer.Reply reply) {
+    private void handleRequest(String operation, Map<String, Object> request, ControlServer.Reply reply) {
         requests.add(request);
-        int nth = counts.computeIfAbsent(op, x -> new AtomicInteger()).getAndIncrement();
-        ReplyScript answer = scripts.get(op);
-        if (answer == null) {
-            reply.fail("no such operation: " + op);
+        int nth = counts.computeIfAbsent(operation, key -> new AtomicInteger()).getAndIncrement();
+        ReplyScript script = scripts.get(operation);
+        if (script == null) {
+            reply.fail("no such operation: " + operation);
         } else {
-            answer.to(nth, request, reply);
+            script.send(nth, request, reply);
         }
     }
 
-    ScriptedAgent on(String op, ReplyScript answer) {
-        scripts.put(op, answer);
+    ScriptedAgent on(String operation, ReplyScript script) {
+        scripts.put(operation, script);
         return this;
     }
 
-    ScriptedAgent replies(String op, Map<String, Object> reply) {
-        return on(op, (nth, request, to) -> to.end(reply));
+    ScriptedAgent replies(String operation, Map<String, Object> reply) {
+        return on(operation, (nth, request, responder) -> responder.end(reply));
     }
 
-    ScriptedAgent refuses(String op, String why) {
-        return on(op, (nth, request, to) -> to.fail(why));
+    ScriptedAgent refuses(String operation, String error) {
+        return on(operation, (nth, request, responder) -> responder.fail(error));
     }
 
     /** Replies to the nth list request with the nth list, and with the last one from then on. */
     @SafeVarargs
-    final ScriptedAgent lists(List<Map<String, Object>>... each) {
-        return on("list", (nth, request, to) -> to.end(listed(each[Math.min(nth, each.length - 1)])));
+    final ScriptedAgent listsInTurn(List<Map<String, Object>>... listings) {
+        return on(
+                "list",
+                (nth, request, responder) -> responder.end(listed(listings[Math.min(nth, listings.length - 1)])));
     }
 
     static Map<String, Object> listed(List<Map<String, Object>> instances) {
-        Map<String, Object> o = new LinkedHashMap<>();
-        o.put("site", "s");
-        o.put("agentPid", 4711);
-        o.put("instances", instances);
-        return o;
+        Map<String, Object> fields = new LinkedHashMap<>();
+        fields.put("site", "s");
+        fields.put("agentPid", 4711);
+        fields.put("instances", instances);
+        return fields;
     }
 
-    static Map<String, Object> instance(String name, String state, Object... more) {
-        Map<String, Object> o = new LinkedHashMap<>();
-        o.put("name", name);
-        o.put("state", state);
-        o.put("wanted", true);
-        o.put("forMs", 1500);
-        o.put("start", 1);
-        for (int i = 0; i < more.length; i += 2) {
-            o.put(String.valueOf(more[i]), more[i + 1]);
+    static Map<String, Object> instance(String name, String state, Object... namesAndValues) {
+        Map<String, Object> fields = new LinkedHashMap<>();
+        fields.put("name", name);
+        fields.put("state", state);
+        fields.put("wanted", true);
+        fields.put("forMs", 1500);
+        fields.put("start", 1);
+        for (int i = 0; i < namesAndValues.length; i += 2) {
+            fields.put(String.valueOf(namesAndValues[i]), namesAndValues[i + 1]);
         }
-        return o;
+        return fields;
     }
 
-    List<Object> ops() {
-        List<Object> ops = new ArrayList<>();
-        requests.forEach(r -> ops.add(r.get("op")));
-        return ops;
+    List<Object> operations() {
+        List<Object> operations = new ArrayList<>();
+        requests.forEach(request -> operations.add(request.get("op")));
+        return operations;
     }
 
     /** The last request of this operation. */
-    Map<String, Object> last(String op) {
+    Map<String, Object> last(String operation) {
         return requests.stream()
-                .filter(r -> op.equals(r.get("op")))
+                .filter(request -> operation.equals(request.get("op")))
                 .reduce((a, b) -> b)
                 .orElseThrow();
     }
 
     /** Counts requests of this operation from now on; replies stay as before. */
-    CountDownLatch awaited(String op, int times) {
+    CountDownLatch countRequests(String operation, int times) {
         CountDownLatch latch = new CountDownLatch(times);
-        ReplyScript before = scripts.get(op);
-        on(op, (nth, request, to) -> {
+        ReplyScript previous = scripts.get(operation);
+        on(operation, (nth, request, responder) -> {
             latch.countDown();
-            before.to(nth, request, to);
+            previous.send(nth, request, responder);
         });
         return latch;
     }
--- a/fleet/src/test/java/cacheproxy/cli/StateCommandsTest.java
+++ b/fleet/src/test/java/cacheproxy/cli/StateCommandsTest.java
@@ -26,93 +26,96 @@
 
     private final List<Process> processes = new ArrayList<>();
 
-    private Path folder(int i) {
-        return root.resolve("m" + i);
+    private Path folder(int member) {
+        return root.resolve("m" + member);
     }
 
-    private String all() {
+    private String allFolders() {
         return folder(0) + "," + folder(1) + "," + folder(2);
     }
 
-    private void write() throws Exception {
+    private void writeMemberFiles() throws Exception {
         int[] ports = new int[MEMBERS];
-        for (int i = 0; i < MEMBERS; i++) {
+        for (int member = 0; member < MEMBERS; member++) {
             try (ServerSocket free = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
-                ports[i] = free.getLocalPort();
+                ports[member] = free.getLocalPort();
             }
         }
         String peers = "{\"m0\":\"127.0.0.1:" + ports[0] + "\",\"m1\":\"127.0.0.1:" + ports[1]
                 + "\",\"m2\":\"127.0.0.1:" + ports[2] + "\"}";
-        for (int i = 0; i < MEMBERS; i++) {
-            Files.createDirectories(folder(i));
+        for (int member = 0; member < MEMBERS; member++) {
+            Files.createDirectories(folder(member));
             Files.writeString(
-                    folder(i).resolve("member.json"),
-                    "{\"name\":\"m" + i + "\",\"listen\":\"127.0.0.1:" + ports[i] + "\",\"peers\":" + peers
+                    folder(member).resolve("member.json"),
+                    "{\"name\":\"m" + member + "\",\"listen\":\"127.0.0.1:" + ports[member] + "\",\"peers\":" + peers
                             + ",\"settings\":{\"tickMs\":50,\"aloneMs\":1500}}");
         }
     }
 
-    private Process start(int i) throws Exception {
-        Process p = new ProcessBuilder(
+    private Process start(int member) throws Exception {
+        Process process = new ProcessBuilder(
                         Path.of(System.getProperty("java.home"), "bin", "java").toString(),
                         "-XX:TieredStopAtLevel=1",
                         "-cp",
                         System.getProperty("java.class.path"),
                         "cacheproxy.fleet.Main",
                         "member",
-                        folder(i).toString())
+                        folder(member).toString())
                 .redirectErrorStream(true)
-                .redirectOutput(folder(i).resolve("out").toFile())
+                .redirectOutput(folder(member).resolve("out").toFile())
                 .start();
-        processes.add(p);
-        return p;
+        processes.add(process);
+        return process;
     }
 
     @AfterEach
-    void end() {
-        processes.forEach(p -> p.destroyForcibly().onExit().join());
+    void killProcesses() {
+        processes.forEach(process -> process.destroyForcibly().onExit().join());
     }
 
     private final StringWriter output = new StringWriter();
 
-    private int tool(String... words) {
+    private int runTool(String... arguments) {
         output.getBuffer().setLength(0);
         PrintWriter out = new PrintWriter(output, true);
-        return CacheproxyctlCommand.run(out, out, words);
+        return CacheproxyctlCommand.run(out, out, arguments);
     }
 
     /** Polls until the exit code matches; the timeout of the test bounds the wait. */
-    private void untilStateIs(int code) throws InterruptedException {
-        while (tool("state", "-m", all()) != code) {
+    private void awaitStateCode(int code) throws InterruptedException {
+        while (runTool("state", "-m", allFolders()) != code) {
             Thread.sleep(50);
         }
     }
 
     @Test
     void stateAndOperatorCommandsSurviveRestartOfAMember() throws Exception {
-        write();
-        for (int i = 0; i < MEMBERS; i++) {
-            start(i);
+        writeMemberFiles();
+        for (int member = 0; member < MEMBERS; member++) {
+            start(member);
         }
-        untilStateIs(ExitCode.OK.value());
+        awaitStateCode(ExitCode.OK.value());
         assertTrue(output.toString().contains("all replicas are equal"), output.toString());
         assertEquals(
                 ExitCode.OK.value(),
-                tool("order", "-m", folder(0).toString(), "drain", "s-1", "--why", "disk errors", "--who", "anna"),
+                runTool("order", "-m", folder(0).toString(), "drain", "s-1", "--why", "disk errors", "--who", "anna"),
                 output.toString());
         assertTrue(
                 output.toString().contains("drain s-1: on 2 disks")
                         || output.toString().contains("on 3 disks"),
                 output.toString());
         processes.get(2).destroyForcibly().waitFor();
-        assertEquals(ExitCode.UNREACHABLE.value(), tool("state", "-m", all()));
+        assertEquals(ExitCode.UNREACHABLE.value(), runTool("state", "-m", allFolders()));
         assertTrue(output.toString().contains("UNREACHABLE"), output.toString());
         start(2);
-        untilStateIs(ExitCode.OK.value());
-        assertEquals(ExitCode.OK.value(), tool("state", "diff", "-m", folder(0) + "," + folder(2)), output.toString());
-        assertEquals(ExitCode.OK.value(), tool("state", "show", "-m", folder(2).toString()));
+        awaitStateCode(ExitCode.OK.value());
+        assertEquals(
+                ExitCode.OK.value(), runTool("state", "diff", "-m", folder(0) + "," + folder(2)), output.toString());
+        assertEquals(
+                ExitCode.OK.value(), runTool("state", "show", "-m", folder(2).toString()));
         assertTrue(output.toString().contains("drain by anna (disk errors)"), output.toString());
-        assertEquals(ExitCode.REFUSED.value(), tool("order", "-m", folder(0).toString(), "drain", "a/b", "--why", "x"));
+        assertEquals(
+                ExitCode.REFUSED.value(), runTool("order", "-m", folder(0).toString(), "drain", "a/b", "--why", "x"));
         assertTrue(output.toString().contains("a part of a key"), output.toString());
     }
 }
