--- a/fleet/src/test/java/cacheproxy/cli/ScriptedAgent.java
+++ b/fleet/src/test/java/cacheproxy/cli/ScriptedAgent.java
@@ -16,97 +16,99 @@
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.AtomicInteger;
 
-/** An agent that says what a test wants, and keeps what it was asked. */
+/** A stand-in agent that sends scripted replies and records the requests. */
 final class ScriptedAgent implements Closeable {
-    /** An answer to the nth request of its kind, from 0 on. */
-    interface Answer {
-        void to(int nth, Map<String, Object> request, ControlServer.Reply reply);
+    /** Replies to the nth request (from 0) of an operation. */
+    interface ReplyScript {
+        void send(int nth, Map<String, Object> request, ControlServer.Reply reply);
     }
 
     final Path folder;
-    final List<Map<String, Object>> asked = new CopyOnWriteArrayList<>();
-    private final Map<String, Answer> answers = new ConcurrentHashMap<>();
+    final List<Map<String, Object>> requests = new CopyOnWriteArrayList<>();
+    private final Map<String, ReplyScript> scripts = new ConcurrentHashMap<>();
     private final Map<String, AtomicInteger> counts = new ConcurrentHashMap<>();
     private final EventLoop loop = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory()).next();
     private final ControlServer server;
 
     ScriptedAgent(Path folder) {
         this.folder = folder;
-        server = ControlServer.open(loop, folder.resolve("agent.sock"), this::answer);
+        server = ControlServer.open(loop, folder.resolve("agent.sock"), this::handleRequest);
     }
 
-    private void answer(String op, Map<String, Object> request, ControlServer.Reply reply) {
-        asked.add(request);
-        int nth = counts.computeIfAbsent(op, x -> new AtomicInteger()).getAndIncrement();
-        Answer answer = answers.get(op);
-        if (answer == null) {
-            reply.fail("no such operation: " + op);
+    private void handleRequest(String operation, Map<String, Object> request, ControlServer.Reply reply) {
+        requests.add(request);
+        int nth = counts.computeIfAbsent(operation, key -> new AtomicInteger()).getAndIncrement();
+        ReplyScript script = scripts.get(operation);
+        if (script == null) {
+            reply.fail("no such operation: " + operation);
         } else {
-            answer.to(nth, request, reply);
+            script.send(nth, request, reply);
         }
     }
 
-    ScriptedAgent on(String op, Answer answer) {
-        answers.put(op, answer);
+    ScriptedAgent on(String operation, ReplyScript script) {
+        scripts.put(operation, script);
         return this;
     }
 
-    ScriptedAgent says(String op, Map<String, Object> reply) {
-        return on(op, (nth, request, to) -> to.end(reply));
+    ScriptedAgent replies(String operation, Map<String, Object> reply) {
+        return on(operation, (nth, request, responder) -> responder.end(reply));
     }
 
-    ScriptedAgent refuses(String op, String why) {
-        return on(op, (nth, request, to) -> to.fail(why));
+    ScriptedAgent refuses(String operation, String error) {
+        return on(operation, (nth, request, responder) -> responder.fail(error));
     }
 
-    /** Lists the first at the first question, and so on; the last of them for ever. */
+    /** Replies to the nth list request with the nth list, and with the last one from then on. */
     @SafeVarargs
-    final ScriptedAgent lists(List<Map<String, Object>>... each) {
-        return on("list", (nth, request, to) -> to.end(listed(each[Math.min(nth, each.length - 1)])));
+    final ScriptedAgent listsInTurn(List<Map<String, Object>>... listings) {
+        return on(
+                "list",
+                (nth, request, responder) -> responder.end(listed(listings[Math.min(nth, listings.length - 1)])));
     }
 
     static Map<String, Object> listed(List<Map<String, Object>> instances) {
-        Map<String, Object> o = new LinkedHashMap<>();
-        o.put("site", "s");
-        o.put("agentPid", 4711);
-        o.put("instances", instances);
-        return o;
+        Map<String, Object> fields = new LinkedHashMap<>();
+        fields.put("site", "s");
+        fields.put("agentPid", 4711);
+        fields.put("instances", instances);
+        return fields;
     }
 
-    static Map<String, Object> instance(String name, String state, Object... more) {
-        Map<String, Object> o = new LinkedHashMap<>();
-        o.put("name", name);
-        o.put("state", state);
-        o.put("wanted", true);
-        o.put("forMs", 1500);
-        o.put("start", 1);
-        for (int i = 0; i < more.length; i += 2) {
-            o.put(String.valueOf(more[i]), more[i + 1]);
+    static Map<String, Object> instance(String name, String state, Object... namesAndValues) {
+        Map<String, Object> fields = new LinkedHashMap<>();
+        fields.put("name", name);
+        fields.put("state", state);
+        fields.put("wanted", true);
+        fields.put("forMs", 1500);
+        fields.put("start", 1);
+        for (int i = 0; i < namesAndValues.length; i += 2) {
+            fields.put(String.valueOf(namesAndValues[i]), namesAndValues[i + 1]);
         }
-        return o;
+        return fields;
     }
 
-    List<Object> ops() {
-        List<Object> ops = new ArrayList<>();
-        asked.forEach(r -> ops.add(r.get("op")));
-        return ops;
+    List<Object> operations() {
+        List<Object> operations = new ArrayList<>();
+        requests.forEach(request -> operations.add(request.get("op")));
+        return operations;
     }
 
-    /** The last request of this kind. */
-    Map<String, Object> last(String op) {
-        return asked.stream()
-                .filter(r -> op.equals(r.get("op")))
+    /** The last request of this operation. */
+    Map<String, Object> last(String operation) {
+        return requests.stream()
+                .filter(request -> operation.equals(request.get("op")))
                 .reduce((a, b) -> b)
                 .orElseThrow();
     }
 
-    /** Has a question of this kind counted from here on, and then answered as before. */
-    CountDownLatch awaited(String op, int times) {
+    /** Counts requests of this operation from now on; replies stay as before. */
+    CountDownLatch countRequests(String operation, int times) {
         CountDownLatch latch = new CountDownLatch(times);
-        Answer before = answers.get(op);
-        on(op, (nth, request, to) -> {
+        ReplyScript previous = scripts.get(operation);
+        on(operation, (nth, request, responder) -> {
             latch.countDown();
-            before.to(nth, request, to);
+            previous.send(nth, request, responder);
         });
         return latch;
     }
