--- a/proxy/src/test/java/cacheproxy/server/BadClientsTest.java
+++ b/proxy/src/test/java/cacheproxy/server/BadClientsTest.java
@@ -11,8 +11,8 @@
 /** Clients that are silent, stop inside a command, flood or send invalid input are closed; others are still served. */
 @Timeout(60)
 class BadClientsTest {
-    private static void assertServed(Fixture fixture, Peer client, String id) throws Exception {
-        client.send(Fixture.read(id, 4000));
+    private static void assertServed(ProxyFixture fixture, Peer client, String id) throws Exception {
+        client.send(ProxyFixture.readCommand(id, 4000));
         Peer node = fixture.nodes.get(0).next();
         assertTrue(node.line().startsWith("mg 7f3a9c21e0b4d655 v O" + id + " "));
         node.send("VA 1 O" + id + "\r\n1\r\n");
@@ -37,14 +37,14 @@
     /** Guards against descriptors that are held forever by connections on which the client sends nothing. */
     @Test
     void closesConnectionThatSendsNothing() throws Exception {
-        try (Fixture fixture = new Fixture(1)) {
+        try (ProxyFixture fixture = new ProxyFixture(1)) {
             fixture.client().expectEnd();
         }
     }
 
     @Test
     void closesConnectionThatStopsInsideItsFirstCommand() throws Exception {
-        try (Fixture fixture = new Fixture(1)) {
+        try (ProxyFixture fixture = new ProxyFixture(1)) {
             Peer line = fixture.client();
             Peer value = fixture.client();
             line.send("mg 7f3a9c2");
@@ -56,9 +56,9 @@
 
     @Test
     void answersOpenRequestThenReportsIncompleteCommandAndCloses() throws Exception {
-        try (Fixture fixture = new Fixture(1)) {
+        try (ProxyFixture fixture = new ProxyFixture(1)) {
             Peer client = fixture.client();
-            client.send(Fixture.read("a1", 4900) + "ms 7f3a9c21e0b4d655 5 Oa2 Pc=charge,t=acme,d=900,k=1\r\nhe");
+            client.send(ProxyFixture.readCommand("a1", 4900) + "ms 7f3a9c21e0b4d655 5 Oa2 Pc=charge,t=acme,d=900,k=1\r\nhe");
             Peer node = fixture.nodes.get(0).next();
             node.line();
             // opened later, so when this one is closed the timeout of the other has passed too
@@ -73,7 +73,7 @@
     /** Guards against connections in use being closed to make room for a flood of silent connections. */
     @Test
     void silentConnectionsDoNotEvictEstablishedOnes() throws Exception {
-        try (Fixture fixture = new Fixture(1, s -> s, 128)) { // allows 40 client connections
+        try (ProxyFixture fixture = new ProxyFixture(1, s -> s, 128)) { // allows 40 client connections
             List<Peer> established = new ArrayList<>();
             for (int i = 0; i < 30; i++) {
                 Peer connection = fixture.client();
@@ -94,7 +94,7 @@
     /** Guards against all client connections being used up by ones that send one request and stay open unused. */
     @Test
     void closesConnectionsUsedOnceBeforeReusedOnes() throws Exception {
-        try (Fixture fixture = new Fixture(1, s -> s, 128)) { // allows 32 established client connections
+        try (ProxyFixture fixture = new ProxyFixture(1, s -> s, 128)) { // allows 32 established client connections
             Peer established = fixture.client();
             assertReady(established);
             assertReady(established);
@@ -115,7 +115,7 @@
     /** Guards against losing undecoded commands of a connection that is closed to make room in the middle of a read. */
     @Test
     void answersAllCommandsOfOneReadWhileConnectionsAreClosedToMakeRoom() throws Exception {
-        try (Fixture fixture = new Fixture(1, s -> s, 128)) { // allows 32 established client connections
+        try (ProxyFixture fixture = new ProxyFixture(1, s -> s, 128)) { // allows 32 established client connections
             for (int i = 0; i < 38; i++) {
                 Peer connection = fixture.client();
                 connection.send("mn\r\nmn\r\nmn\r\n");
@@ -130,13 +130,13 @@
     /** Guards against forwarding a duplicate id, whose response could reach the wrong client. */
     @Test
     void rejectsIdOfAnotherOpenRequestUntilThatIsAnswered() throws Exception {
-        try (Fixture fixture = new Fixture(1)) {
+        try (ProxyFixture fixture = new ProxyFixture(1)) {
             Peer client = fixture.client();
             Peer otherClient = fixture.client();
-            client.send(Fixture.read("a1", 4000));
+            client.send(ProxyFixture.readCommand("a1", 4000));
             Peer node = fixture.nodes.get(0).next();
             assertTrue(node.line().contains(" Oa1 "));
-            otherClient.send(Fixture.read("a1", 4000));
+            otherClient.send(ProxyFixture.readCommand("a1", 4000));
             otherClient.expect("CLIENT_ERROR the id is in use");
             node.send("VA 1 Oa1\r\n1\r\n");
             client.expect("VA 1 Oa1", "1");
@@ -148,9 +148,9 @@
     /** Guards against retrying one bad request at each node, where it would count as a failure of all of them. */
     @Test
     void doesNotRetryRequestThatANodeRejectsAsInvalid() throws Exception {
-        try (Fixture fixture = new Fixture(2)) {
+        try (ProxyFixture fixture = new ProxyFixture(2)) {
             Peer client = fixture.client();
-            client.send(Fixture.read("a1", 4000));
+            client.send(ProxyFixture.readCommand("a1", 4000));
             while (fixture.nodes.get(0).count() + fixture.nodes.get(1).count() == 0) {
                 Thread.onSpinWait();
             }
@@ -167,7 +167,7 @@
     /** Guards against reading endlessly from a client that goes on sending after its command was rejected. */
     @Test
     void doesNotReadOnAfterFramingIsLost() throws Exception {
-        try (Fixture fixture = new Fixture(1)) {
+        try (ProxyFixture fixture = new ProxyFixture(1)) {
             Peer client = fixture.client();
             client.send("ms 7f3a9c21e0b4d655 60000000 Oa1 Pc=charge,t=acme,d=900,k=1\r\n");
             client.expect("CLIENT_ERROR object too large");
--- a/proxy/src/test/java/cacheproxy/server/Held.java
+++ b/proxy/src/test/java/cacheproxy/server/BlockedEventLoop.java
@@ -4,10 +4,10 @@
 import java.util.concurrent.CountDownLatch;
 
 /** Blocks an event loop until closed, so that a test can prepare the events that it finds next, in their order. */
-final class Held implements AutoCloseable {
+final class BlockedEventLoop implements AutoCloseable {
     private final CountDownLatch released = new CountDownLatch(1);
 
-    Held(EventLoop loop) throws InterruptedException {
+    BlockedEventLoop(EventLoop loop) throws InterruptedException {
         CountDownLatch blocked = new CountDownLatch(1);
         loop.execute(() -> {
             blocked.countDown();
--- a/proxy/src/test/java/cacheproxy/server/ClientIsolationTest.java
+++ b/proxy/src/test/java/cacheproxy/server/ClientIsolationTest.java
@@ -16,11 +16,11 @@
 class ClientIsolationTest {
     private static final String LARGE = "0123456789".repeat(100_000);
 
-    private static void assertServed(Arrivals arrivals, Peer client, String id) throws Exception {
-        client.send(Fixture.read(id, 4000));
-        Peer node = arrivals.nextOr(client);
+    private static void assertServed(CommandArrivals arrivals, Peer client, String id) throws Exception {
+        client.send(ProxyFixture.readCommand(id, 4000));
+        Peer node = arrivals.nextAtNodeOrClient(client);
         assertTrue(node != client, "not forwarded to a node");
-        assertEquals("O" + id, Arrivals.command(node));
+        assertEquals("O" + id, CommandArrivals.readCommandId(node));
         node.send("VA 1 O" + id + "\r\n1\r\n");
         client.expect("VA 1 O" + id, "1");
     }
@@ -31,8 +31,8 @@
      */
     @Test
     void announcedValueLengthsReserveNoMemory() throws Exception {
-        try (Fixture fixture = new Fixture(1)) {
-            Arrivals arrivals = new Arrivals(fixture);
+        try (ProxyFixture fixture = new ProxyFixture(1)) {
+            CommandArrivals arrivals = new CommandArrivals(fixture);
             for (int i = 0; i < 100; i++) {
                 fixture.client().send("ms 7f3a9c21e0b4d655 65536 Ox" + i + " Pc=charge,t=acme,d=4000,k=1\r\n");
             }
@@ -40,9 +40,9 @@
             String value = "v".repeat(60_000);
             for (int i = 0; i < 5; i++) {
                 client.send("ms 7f3a9c21e0b4d655 60000 Oa" + i + " Pc=charge,t=acme,d=4000,k=1\r\n" + value + "\r\n");
-                Peer node = arrivals.nextOr(client);
+                Peer node = arrivals.nextAtNodeOrClient(client);
                 assertTrue(node != client, "rejected: " + (node == client ? client.line() : ""));
-                assertEquals("Oa" + i, Arrivals.command(node));
+                assertEquals("Oa" + i, CommandArrivals.readCommandId(node));
                 node.send("HD Oa" + i + " c1\r\n");
                 client.expect("HD Oa" + i + " c1");
             }
@@ -52,8 +52,8 @@
     /** Guards against clients that use up the budget for values by sending all but the last byte of a value. */
     @Test
     void discardsLongestIncomingValueToMakeRoom() throws Exception {
-        try (Fixture fixture = new Fixture(1)) {
-            Arrivals arrivals = new Arrivals(fixture);
+        try (ProxyFixture fixture = new ProxyFixture(1)) {
+            CommandArrivals arrivals = new CommandArrivals(fixture);
             String most = "v".repeat(65_000);
             List<Peer> slow = new ArrayList<>();
             for (int i = 0; i < 80; i++) {
@@ -63,9 +63,9 @@
             }
             Peer client = fixture.client();
             client.send("ms 7f3a9c21e0b4d655 65000 Oa Pc=charge,t=acme,d=4000,k=1\r\n" + most + "\r\n");
-            Peer node = arrivals.nextOr(client);
+            Peer node = arrivals.nextAtNodeOrClient(client);
             assertTrue(node != client, "rejected: " + (node == client ? client.line() : ""));
-            assertEquals("Oa", Arrivals.command(node));
+            assertEquals("Oa", CommandArrivals.readCommandId(node));
             node.send("HD Oa c1\r\n");
             client.expect("HD Oa c1");
             slow.get(0).expect("CLIENT_ERROR the value comes too slowly");
@@ -75,8 +75,8 @@
     /** Guards against a flood of invalid lines or of {@code mn} that uses up the event loop's time. */
     @Test
     void closesFloodOfInvalidLinesAndServesOthersDuringFloodOfNoOps() throws Exception {
-        try (Fixture fixture = new Fixture(1)) {
-            Arrivals arrivals = new Arrivals(fixture);
+        try (ProxyFixture fixture = new ProxyFixture(1)) {
+            CommandArrivals arrivals = new CommandArrivals(fixture);
             Peer otherClient = fixture.client();
             assertServed(arrivals, otherClient, "a0");
             Peer invalidClient = fixture.client();
@@ -141,11 +141,11 @@
     /** Guards against decoding all of 400 requests of one read, beyond the limit of unanswered requests. */
     @Test
     void limitsUnansweredRequestsOfOneRead() throws Exception {
-        try (Fixture fixture = new Fixture(1)) {
+        try (ProxyFixture fixture = new ProxyFixture(1)) {
             Peer client = fixture.client();
             StringBuilder all = new StringBuilder();
             for (int i = 0; i < 400; i++) {
-                all.append(Fixture.read("p" + i, 4000));
+                all.append(ProxyFixture.readCommand("p" + i, 4000));
             }
             client.send(all.toString());
             while (fixture.nodes.get(0).count() < 128) {
@@ -164,12 +164,12 @@
      */
     @Test
     void servesOthersAfterLongPipelineWithDescriptorShortage() throws Exception {
-        try (Fixture fixture = new Fixture(1, s -> s, 128)) { // allows 24 connections to nodes
-            Arrivals arrivals = new Arrivals(fixture);
+        try (ProxyFixture fixture = new ProxyFixture(1, s -> s, 128)) { // allows 24 connections to nodes
+            CommandArrivals arrivals = new CommandArrivals(fixture);
             Peer client = fixture.client();
             StringBuilder all = new StringBuilder();
             for (int i = 0; i < 400; i++) {
-                all.append(Fixture.read("p" + i, 4000));
+                all.append(ProxyFixture.readCommand("p" + i, 4000));
             }
             client.send(all.toString());
             long most = 0;
@@ -182,22 +182,22 @@
                 if (client.ready()) {
                     break; // rejected for lack of capacity
                 }
-                Peer node = arrivals.nextOr(client);
+                Peer node = arrivals.nextAtNodeOrClient(client);
                 if (node == client) {
                     break;
                 }
-                String id = Arrivals.command(node);
+                String id = CommandArrivals.readCommandId(node);
                 node.send("VA 1 " + id + "\r\n1\r\n");
             }
             assertTrue(most <= 128, most + " requests were open at once");
             Peer otherClient = fixture.client();
-            otherClient.send(Fixture.read("u", 4000));
+            otherClient.send(ProxyFixture.readCommand("u", 4000));
             while (true) {
-                Peer node = arrivals.nextOr(otherClient);
+                Peer node = arrivals.nextAtNodeOrClient(otherClient);
                 if (node == otherClient) {
                     break;
                 }
-                String id = Arrivals.command(node);
+                String id = CommandArrivals.readCommandId(node);
                 node.send("VA 1 " + id + "\r\n1\r\n");
             }
             otherClient.expect("VA 1 Ou", "1");
@@ -210,8 +210,8 @@
      */
     @Test
     void servesConnectionBurstAndClientBesideLongPipeline() throws Exception {
-        try (Fixture fixture = new Fixture(1)) {
-            Arrivals arrivals = new Arrivals(fixture);
+        try (ProxyFixture fixture = new ProxyFixture(1)) {
+            CommandArrivals arrivals = new CommandArrivals(fixture);
             List<Peer> all = new ArrayList<>();
             for (int i = 0; i < 400; i++) {
                 Peer connection = fixture.client();
@@ -231,14 +231,14 @@
             pipeliningClient.send(noOps.toString());
             StringBuilder reads = new StringBuilder();
             for (int i = 0; i < 100; i++) {
-                reads.append(Fixture.read("h" + i, 4000));
+                reads.append(ProxyFixture.readCommand("h" + i, 4000));
             }
             wellBehaved.send(reads.toString());
             int answered = 0;
             while (answered < 100) {
-                Peer node = arrivals.nextOr(wellBehaved);
+                Peer node = arrivals.nextAtNodeOrClient(wellBehaved);
                 if (node != wellBehaved) {
-                    String id = Arrivals.command(node);
+                    String id = CommandArrivals.readCommandId(node);
                     node.send("VA 1 " + id + "\r\n1\r\n");
                     continue;
                 }
@@ -255,8 +255,8 @@
      */
     @Test
     void doesNotAddUpWaitingTimesOfContinuousCommandStream() throws Exception {
-        try (Fixture fixture = new Fixture(1)) {
-            Arrivals arrivals = new Arrivals(fixture);
+        try (ProxyFixture fixture = new ProxyFixture(1)) {
+            CommandArrivals arrivals = new CommandArrivals(fixture);
             Peer client = fixture.client();
             String noOpLines = "mn\r\n".repeat(40); // more than one scheduling turn
             long end = System.nanoTime() + 900_000_000L;
@@ -273,10 +273,10 @@
             for (int i = 0; i < 40; i++) {
                 client.expect("MN");
             }
-            client.send("g" + Fixture.read("last", 400).substring(2));
-            Peer node = arrivals.nextOr(client);
+            client.send("g" + ProxyFixture.readCommand("last", 400).substring(2));
+            Peer node = arrivals.nextAtNodeOrClient(client);
             assertTrue(node != client, "after " + sent + " pieces: " + (node == client ? client.line() : ""));
-            assertEquals("Olast", Arrivals.command(node));
+            assertEquals("Olast", CommandArrivals.readCommandId(node));
             node.send("VA 1 Olast\r\n1\r\n");
             client.expect("VA 1 Olast", "1");
         }
@@ -296,23 +296,23 @@
     }
 
     private interface FixtureAction {
-        void run(Fixture fixture) throws Exception;
+        void run(ProxyFixture fixture) throws Exception;
     }
 
     private static void assertSlowReaderReceivesAll(String trailingInput, FixtureAction afterAnswered)
             throws Exception {
-        try (Fixture fixture = new Fixture(1)) {
-            Arrivals arrivals = new Arrivals(fixture);
+        try (ProxyFixture fixture = new ProxyFixture(1)) {
+            CommandArrivals arrivals = new CommandArrivals(fixture);
             Peer client = fixture.client();
             int answers = 6;
             StringBuilder all = new StringBuilder();
             for (int i = 0; i < answers; i++) {
-                all.append(Fixture.read("a" + i, 4000));
+                all.append(ProxyFixture.readCommand("a" + i, 4000));
             }
             client.send(all + trailingInput);
             for (int i = 0; i < answers; i++) {
                 Peer node = arrivals.next();
-                String id = Arrivals.command(node);
+                String id = CommandArrivals.readCommandId(node);
                 node.send("VA " + LARGE.length() + " " + id + "\r\n" + LARGE + "\r\n");
             }
             while (fixture.loop
@@ -342,16 +342,22 @@
     /** Guards against never avoiding a faulty node that rejects all requests, and reporting its clients as at fault. */
     @Test
     void avoidsNodeThatRejectsRequestsThatOthersServe() throws Exception {
-        try (Fixture fixture = new Fixture(2, s -> s.replace("\"quotaPerS\":50.0", "\"quotaPerS\":1e6"), 1024)) {
-            Arrivals arrivals = new Arrivals(fixture);
+        try (ProxyFixture fixture =
+                new ProxyFixture(2, s -> s.replace("\"quotaPerS\":50.0", "\"quotaPerS\":1e6"), 1024)) {
+            CommandArrivals arrivals = new CommandArrivals(fixture);
             Peer client = fixture.client();
             int rejected = 0;
             int served = 0;
             for (int i = 0; i < 60; i++) {
                 client.send("mg " + Integer.toHexString(7919 * (i + 3)) + " v Ob" + i + " Pc=lookup,t=acme,d=4000\r\n");
-                for (Peer node = arrivals.nextOr(client); node != client; node = arrivals.nextOr(client)) {
-                    String id = Arrivals.command(node);
-                    node.send(arrivals.node(node) == 0 ? "CLIENT_ERROR bad request\r\n" : "VA 1 " + id + "\r\n1\r\n");
+                for (Peer node = arrivals.nextAtNodeOrClient(client);
+                        node != client;
+                        node = arrivals.nextAtNodeOrClient(client)) {
+                    String id = CommandArrivals.readCommandId(node);
+                    node.send(
+                            arrivals.nodeIndex(node) == 0
+                                    ? "CLIENT_ERROR bad request\r\n"
+                                    : "VA 1 " + id + "\r\n1\r\n");
                 }
                 String line = client.line();
                 if (line.startsWith("VA ")) {
--- a/proxy/src/test/java/cacheproxy/server/ClientLinkTest.java
+++ b/proxy/src/test/java/cacheproxy/server/ClientLinkTest.java
@@ -13,11 +13,11 @@
     /** Guards against reading that stays suspended forever after too many unanswered requests of a client. */
     @Test
     void resumesReadingOnceTooManyUnansweredRequestsAreAnswered() throws Exception {
-        try (Fixture fixture = new Fixture(1)) {
+        try (ProxyFixture fixture = new ProxyFixture(1)) {
             Peer client = fixture.client();
-            client.send(Fixture.write("charge", "c1", 4900));
+            client.send(ProxyFixture.writeCommand("charge", "c1", 4900));
             Peer node = fixture.nodes.get(0).next();
-            assertEquals("Oc1", Arrivals.command(node));
+            assertEquals("Oc1", CommandArrivals.readCommandId(node));
             for (int i = 0; i < 3; i++) {
                 client.send("mn\r\n".repeat(150)); // their responses wait behind that of the charge
                 fixture.loop.schedule(() -> {}, 50, TimeUnit.MILLISECONDS).sync();
--- a/proxy/src/test/java/cacheproxy/server/ConnectTimeoutTest.java
+++ b/proxy/src/test/java/cacheproxy/server/ConnectTimeoutTest.java
@@ -18,19 +18,19 @@
      */
     @Test
     void limitsConnectTimeoutToPartOfDrainGrace() throws Exception {
-        try (Peer.Deaf unresponsiveListener = new Peer.Deaf();
-                Fixture fixture = new Fixture(
+        try (Peer.UnresponsiveListener unresponsiveListener = new Peer.UnresponsiveListener();
+                ProxyFixture fixture = new ProxyFixture(
                         1,
                         settings -> settings.replace("\"dialTimeoutMs\":400.0", "\"dialTimeoutMs\":9000.0"),
                         1024,
-                        created -> Fixture.list(
+                        created -> ProxyFixture.endpointList(
                                 1,
                                 true,
-                                created.entry(0, "SERVING")
+                                created.listEntry(0, "SERVING")
                                         .replace(created.nodes.get(0).address(), unresponsiveListener.address())))) {
             Peer client = fixture.client();
             Future<?> graceOver = fixture.loop.schedule(() -> {}, 1000, TimeUnit.MILLISECONDS);
-            client.send(Fixture.write("charge", "c1", 4900));
+            client.send(ProxyFixture.writeCommand("charge", "c1", 4900));
             assertTrue(client.line().startsWith("SERVER_ERROR busy "));
             assertFalse(graceOver.isDone(), "waited longer than the drain grace, measured on the event loop");
         }
--- a/proxy/src/test/java/cacheproxy/server/ControlChannelLoopTest.java
+++ b/proxy/src/test/java/cacheproxy/server/ControlChannelLoopTest.java
@@ -34,7 +34,7 @@
 
     /** A control channel of a proxy in this process that counts its queries to the proxy's event loop. */
     private static final class ControlFixture implements Closeable {
-        final Fixture fixture = new Fixture(1);
+        final ProxyFixture fixture = new ProxyFixture(1);
         final AtomicInteger loopQueries = new AtomicInteger();
         final Path folder = Files.createTempDirectory("control");
         final Path socket = folder.resolve("s");
@@ -44,8 +44,8 @@
         private final List<RawClient> clients = new ArrayList<>();
 
         ControlFixture() throws IOException {
-            Files.writeString(file, Fixture.json(Fixture.list(1, true), Fixture.SETTINGS, 1024));
-            env = new java.util.HashMap<>(Fixture.env(file, fixture.discovery.address()));
+            Files.writeString(file, ProxyFixture.json(ProxyFixture.endpointList(1, true), ProxyFixture.SETTINGS, 1024));
+            env = new java.util.HashMap<>(ProxyFixture.env(file, fixture.discovery.address()));
             env.put(ProxyConfiguration.CONTROL_VARIABLE, socket.toString());
             control = ControlChannel.open(env);
         }
@@ -257,7 +257,7 @@
             CountDownLatch release = new CountDownLatch(1);
             AtomicInteger reloads = new AtomicInteger();
             ConfigurationReloader reload = new ConfigurationReloader(
-                    channel.env, Fixture.log(), ProxyConfiguration.load(channel.env), config -> {
+                    channel.env, ProxyFixture.log(), ProxyConfiguration.load(channel.env), config -> {
                         reloads.incrementAndGet();
                         reading.countDown();
                         try {
@@ -268,7 +268,7 @@
                     });
             CompletableFuture<ConfigurationReloader.Result> first = requestReload(reload);
             reading.await();
-            String changed = Fixture.json(Fixture.list(1, true), Fixture.SETTINGS, 512);
+            String changed = ProxyFixture.json(ProxyFixture.endpointList(1, true), ProxyFixture.SETTINGS, 512);
             Files.writeString(channel.file, changed); // reloads requested from here on must read this content
             List<CompletableFuture<ConfigurationReloader.Result>> later = new ArrayList<>();
             for (int i = 0; i < 1000; i++) {
--- a/proxy/src/test/java/cacheproxy/server/ControlChannelTest.java
+++ b/proxy/src/test/java/cacheproxy/server/ControlChannelTest.java
@@ -44,7 +44,7 @@
     /** Descriptors for 32 connections, 16 that are accepted together and rejected, and 8 for the process itself. */
     private static final int MAX_ADDITIONAL_DESCRIPTORS = 32 + 16 + 8;
 
-    private AnsweringDiscovery discovery;
+    private DiscoveryStandIn discovery;
     private Peer.Listener node;
     private final List<Peer> connections = new ArrayList<>();
     private Path folder;
@@ -53,7 +53,7 @@
     @BeforeEach
     void open() throws IOException {
         node = new Peer.Listener();
-        discovery = new AnsweringDiscovery(known());
+        discovery = new DiscoveryStandIn(known());
         folder = Files.createTempDirectory("control"); // with mode 700, as the control channel requires
         socket = folder.resolve("n0.sock");
     }
@@ -69,22 +69,22 @@
         }
     }
 
-    private Child.Start with(String variable, String value) {
-        Child.Start startOptions = new Child.Start();
+    private ProxyChildProcess.Start with(String variable, String value) {
+        ProxyChildProcess.Start startOptions = new ProxyChildProcess.Start();
         startOptions.env = new HashMap<>(Map.of("LB_CONTROL", socket.toString(), "LB_SECRET", "s3cret"));
         startOptions.env.put(variable, value);
         return startOptions;
     }
 
     private String known() {
-        return Fixture.list(1, true, Fixture.entry(0, "SERVING", node));
+        return ProxyFixture.endpointList(1, true, ProxyFixture.listEntry(0, "SERVING", node));
     }
 
-    private Child startChild(Child.Start startOptions) throws IOException {
+    private ProxyChildProcess startChild(ProxyChildProcess.Start startOptions) throws IOException {
         return startOptions.with(discovery.listener, known());
     }
 
-    private Child startChild() throws IOException {
+    private ProxyChildProcess startChild() throws IOException {
         return startChild(with("LB_SECRET", "s3cret"));
     }
 
@@ -99,10 +99,11 @@
     }
 
     /** Polls the status until it matches {@code condition}, and returns it. */
-    private Map<String, Object> status(Child child, String description, Predicate<Map<String, Object>> condition)
+    private Map<String, Object> status(
+            ProxyChildProcess child, String description, Predicate<Map<String, Object>> condition)
             throws InterruptedException {
         Map<String, Object> last = new HashMap<>();
-        child.until(description, () -> {
+        child.await(description, () -> {
             try {
                 last.clear();
                 last.putAll(call("status"));
@@ -114,7 +115,7 @@
         return last;
     }
 
-    private Map<String, Object> awaitPhase(Child child, String phase) throws InterruptedException {
+    private Map<String, Object> awaitPhase(ProxyChildProcess child, String phase) throws InterruptedException {
         return status(child, "to be " + phase, s -> phase.equals(s.get("phase")));
     }
 
@@ -133,9 +134,9 @@
     }
 
     /** Waits for the command with this id at the node, and returns the connection on which it arrived. */
-    private Peer awaitArrival(Child child, String id) throws Exception {
+    private Peer awaitArrival(ProxyChildProcess child, String id) throws Exception {
         Peer[] arrived = new Peer[1];
-        child.until("to send " + id, () -> {
+        child.await("to send " + id, () -> {
             for (Peer p = node.poll(); p != null; p = node.poll()) {
                 connections.add(p);
             }
@@ -145,7 +146,7 @@
                     .orElse(null);
             return arrived[0] != null;
         });
-        assertEquals("O" + id, Arrivals.command(arrived[0]));
+        assertEquals("O" + id, CommandArrivals.readCommandId(arrived[0]));
         return arrived[0];
     }
 
@@ -158,14 +159,15 @@
     }
 
     /** Sends a request, and lets the node respond with this line. */
-    private void assertAnswered(Child child, Peer client, String request, String id, String line) throws Exception {
+    private void assertAnswered(ProxyChildProcess child, Peer client, String request, String id, String line)
+            throws Exception {
         client.send(request);
         awaitArrival(child, id).send(line + "\r\n");
         client.expect(line);
     }
 
-    private void assertServed(Child child, Peer client, String id) throws Exception {
-        client.send(Fixture.read(id, 4000));
+    private void assertServed(ProxyChildProcess child, Peer client, String id) throws Exception {
+        client.send(ProxyFixture.readCommand(id, 4000));
         awaitArrival(child, id).send("VA 1 O" + id + "\r\n1\r\n");
         client.expect("VA 1 O" + id, "1");
     }
@@ -175,7 +177,7 @@
     /** Guards against stopping the wrong process after a pid has been reused. */
     @Test
     void helloReturnsIdentityWithProof() throws Exception {
-        try (Child child = startChild()) {
+        try (ProxyChildProcess child = startChild()) {
             awaitPhase(child, "ready");
             Map<String, Object> hello = hello("n1");
             assertEquals(
@@ -205,7 +207,7 @@
 
     @Test
     void helloReturnsNoProofWithoutSecret() throws Exception {
-        try (Child child = startChild(with("LB_SECRET", ""))) {
+        try (ProxyChildProcess child = startChild(with("LB_SECRET", ""))) {
             awaitPhase(child, "ready");
             assertFalse(hello("n1").containsKey("proof"));
         }
@@ -213,7 +215,7 @@
 
     @Test
     void unknownOperationListsSupportedOnes() throws Exception {
-        try (Child child = startChild()) {
+        try (ProxyChildProcess child = startChild()) {
             awaitPhase(child, "ready");
             assertEquals(
                     "no such operation: stop; there are hello, status, reload, drain",
@@ -230,9 +232,10 @@
 
     @Test
     void statusReportsIdentityEndpointsAndCounts() throws Exception {
-        String known = Fixture.list(1, true, Fixture.entry(0, "SERVING", node), Fixture.entry(1, "DRAINING", node));
-        discovery.holds(known);
-        try (Child child = with("LB_SECRET", "s3cret").with(discovery.listener, known)) {
+        String known = ProxyFixture.endpointList(
+                1, true, ProxyFixture.listEntry(0, "SERVING", node), ProxyFixture.listEntry(1, "DRAINING", node));
+        discovery.setList(known);
+        try (ProxyChildProcess child = with("LB_SECRET", "s3cret").with(discovery.listener, known)) {
             Map<String, Object> first = awaitPhase(child, "ready");
             assertEquals(
                     Set.of(
@@ -264,12 +267,13 @@
             assertEquals(Set.of("acme"), at(first, "tenants").keySet());
             assertEquals(counts(0, 0, 0, 0), first.get("answered"), "warm-up requests are not counted");
 
-            Peer client = child.client();
+            Peer client = child.connect();
             assertServed(child, client, "a1");
-            assertAnswered(child, client, Fixture.read("a2", 4000), "a2", "EN");
-            assertAnswered(child, client, Fixture.write("charge", "a3", 4000), "a3", "CLIENT_ERROR bad request");
-            Peer closingClient = child.client();
-            closingClient.send(Fixture.read("a4", 4000));
+            assertAnswered(child, client, ProxyFixture.readCommand("a2", 4000), "a2", "EN");
+            assertAnswered(
+                    child, client, ProxyFixture.writeCommand("charge", "a3", 4000), "a3", "CLIENT_ERROR bad request");
+            Peer closingClient = child.connect();
+            closingClient.send(ProxyFixture.readCommand("a4", 4000));
             Map<String, Object> open =
                     status(child, "to have one open request", s -> s.get("open").equals(1));
             assertEquals(2, open.get("clients"));
@@ -294,21 +298,21 @@
     @Test
     void statusReportsStartingUntilListeningAndDrainingDuringShutdown() throws Exception {
         try (ServerSocket held = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
-            Child.Start startOptions = with("LB_SECRET", "s3cret");
+            ProxyChildProcess.Start startOptions = with("LB_SECRET", "s3cret");
             startOptions.port = held.getLocalPort();
-            try (Child child = startChild(startOptions)) {
-                child.loads("java.net.BindException");
+            try (ProxyChildProcess child = startChild(startOptions)) {
+                child.awaitClassLoaded("java.net.BindException");
                 assertEquals("starting", call("status").get("phase"));
                 release(held);
                 awaitPhase(child, "ready");
-                Peer client = child.greeted();
-                client.send(Fixture.read("a1", 4000));
+                Peer client = child.connectWhenReady();
+                client.send(ProxyFixture.readCommand("a1", 4000));
                 Peer nodeConnection = awaitArrival(child, "a1");
                 child.signal("TERM");
                 assertEquals(1, awaitPhase(child, "draining").get("open"));
                 nodeConnection.send("VA 1 Oa1\r\n1\r\n");
                 client.expect("VA 1 Oa1", "1");
-                assertEquals(0, child.ends(6));
+                assertEquals(0, child.awaitExit(6));
             }
         }
     }
@@ -316,7 +320,7 @@
     /** Guards against waiting forever for a stopped process: the kernel still accepts connection and request. */
     @Test
     void clientTimesOutOnStoppedProcess() throws Exception {
-        try (Child child = startChild()) {
+        try (ProxyChildProcess child = startChild()) {
             awaitPhase(child, "ready");
             child.signal("STOP");
             IOException timeout = assertThrows(
@@ -332,7 +336,7 @@
     /** Guards against replying with the digest of a file that is not the configuration in use. */
     @Test
     void reloadReportsAppliedConfigurationEvenIfFileChangesAgain() throws Exception {
-        try (Child child = startChild()) {
+        try (ProxyChildProcess child = startChild()) {
             Map<String, Object> before = at(awaitPhase(child, "ready"), "configuration");
             String original = Files.readString(child.config);
             Set<Object> digests = new java.util.HashSet<>(Set.of(before.get("digest")));
@@ -359,7 +363,7 @@
      */
     @Test
     void refusedReloadNamesFieldAndKeepsConfiguration() throws Exception {
-        try (Child child = startChild()) {
+        try (ProxyChildProcess child = startChild()) {
             Map<String, Object> before = at(awaitPhase(child, "ready"), "configuration");
             String original = Files.readString(child.config);
             Files.writeString(child.config, original.replace("\"sockets\":1024", "\"sockets\":7"));
@@ -374,7 +378,7 @@
 
             Files.writeString(child.config, "{\"name\":");
             child.signal("HUP"); // reported no matter how the reload was requested
-            child.until("to report the refused configuration", () -> {
+            child.await("to report the refused configuration", () -> {
                 try {
                     String reason = at(call("status"), "refused").get("reason").toString();
                     return reason.contains("is not a JSON object");
@@ -386,7 +390,7 @@
             assertTrue(call("reload").get("error").toString().contains("cannot be read"));
             Files.writeString(child.config, original);
             assertEquals(2, call("reload").get("generation"));
-            assertServed(child, child.greeted(), "a1");
+            assertServed(child, child.connectWhenReady(), "a1");
         }
     }
 
@@ -394,9 +398,9 @@
 
     @Test
     void drainReportsProgressToAllRequesters() throws Exception {
-        try (Child child = startChild()) {
-            Peer client = child.greeted();
-            client.send(Fixture.read("a1", 4000));
+        try (ProxyChildProcess child = startChild()) {
+            Peer client = child.connectWhenReady();
+            client.send(ProxyFixture.readCommand("a1", 4000));
             Peer nodeConnection = awaitArrival(child, "a1");
             try (RawClient first = new RawClient(socket);
                     RawClient second = new RawClient(socket)) {
@@ -405,7 +409,7 @@
                 assertEquals(Map.of("v", 1, "id", "d", "ok", true, "open", 1, "clients", 1, "end", false), progress);
                 second.send("{\"v\":1,\"op\":\"drain\"}\n");
                 assertEquals(1, second.reply().get("open"));
-                assertServed(child, child.greeted(), "a2"); // new connections are still served for a while
+                assertServed(child, child.connectWhenReady(), "a2"); // new connections are still served for a while
                 nodeConnection.send("VA 1 Oa1\r\n1\r\n");
                 client.expect("VA 1 Oa1", "1");
                 for (RawClient c : List.of(first, second)) {
@@ -418,14 +422,14 @@
                     c.expectEnd();
                 }
             }
-            assertEquals(0, child.ends(6));
+            assertEquals(0, child.awaitExit(6));
             assertFalse(Files.exists(socket), "the socket was not removed at exit");
         }
     }
 
     @Test
     void drainWithoutOpenRequestsCompletes() throws Exception {
-        try (Child child = startChild()) {
+        try (ProxyChildProcess child = startChild()) {
             awaitPhase(child, "ready");
             try (RawClient client = new RawClient(socket)) {
                 Map<String, Object> reply = client.ask("{\"v\":1,\"op\":\"drain\"}");
@@ -434,7 +438,7 @@
                 }
                 assertEquals(Map.of("v", 1, "ok", true, "done", true, "all", true, "end", true), reply);
             }
-            assertEquals(0, child.ends(6));
+            assertEquals(0, child.awaitExit(6));
         }
     }
 
@@ -445,7 +449,7 @@
         void once(AtomicBoolean stop, AtomicInteger completedRounds) throws IOException;
     }
 
-    private long countDescriptors(Child child) throws IOException {
+    private long countDescriptors(ProxyChildProcess child) throws IOException {
         try (Stream<Path> all = Files.list(Path.of("/proc/" + child.process.pid() + "/fd"))) {
             return all.count();
         }
@@ -453,10 +457,11 @@
 
     /** Checks that requests are served during the misbehaviour, and that its descriptors are released afterwards. */
     private void assertServesDuring(int rounds, Misbehaviour misbehaviour) throws Exception {
-        Child.Start startOptions = with("JAVA_TOOL_OPTIONS", "-Xmx80m -XX:MaxDirectMemorySize=16m"); // as in production
-        try (Child child = startChild(startOptions)) {
+        ProxyChildProcess.Start startOptions =
+                with("JAVA_TOOL_OPTIONS", "-Xmx80m -XX:MaxDirectMemorySize=16m"); // as in production
+        try (ProxyChildProcess child = startChild(startOptions)) {
             awaitPhase(child, "ready");
-            Peer client = child.greeted();
+            Peer client = child.connectWhenReady();
             assertServed(child, client, "a");
             long before = countDescriptors(child);
             long maxDescriptors = before;
@@ -490,7 +495,7 @@
             Map<String, Object> status = status(child, "to answer status again", s -> s.containsKey("phase"));
             assertEquals("ready", status.get("phase"));
             assertEquals(0, at(status, "answered").get("failed"));
-            child.until("to have released the descriptors", () -> {
+            child.await("to have released the descriptors", () -> {
                 try {
                     return countDescriptors(child) <= before + 1;
                 } catch (IOException e) {
@@ -498,8 +503,8 @@
                 }
             });
             assertTrue(
-                    child.said.stream().noneMatch(l -> l.contains("fault") || l.contains("OutOfMemory")),
-                    child.said.toString());
+                    child.errorLines.stream().noneMatch(l -> l.contains("fault") || l.contains("OutOfMemory")),
+                    child.errorLines.toString());
         }
     }
 
@@ -625,12 +630,12 @@
     // ---- socket path and lock on the name ----
 
     /** Checks that the process exits with this code after logging a single line, and returns the line. */
-    private String assertExits(int code, Child.Start startOptions) throws Exception {
-        try (Child child = startChild(startOptions)) {
-            assertEquals(code, child.ends(20), child.said.toString());
-            assertEquals(1, child.said.size(), child.said.toString());
-            assertTrue(child.said.get(0).startsWith("cacheproxy: "), child.said.toString());
-            return child.said.get(0);
+    private String assertExits(int code, ProxyChildProcess.Start startOptions) throws Exception {
+        try (ProxyChildProcess child = startChild(startOptions)) {
+            assertEquals(code, child.awaitExit(20), child.errorLines.toString());
+            assertEquals(1, child.errorLines.size(), child.errorLines.toString());
+            assertTrue(child.errorLines.get(0).startsWith("cacheproxy: "), child.errorLines.toString());
+            return child.errorLines.get(0);
         }
     }
 
@@ -667,7 +672,7 @@
     @Test
     void createsMissingFolderForOwnerOnly() throws Exception {
         socket = folder.resolve("run").resolve("n0.sock");
-        try (Child child = startChild(with("LB_CONTROL", socket.toString()))) {
+        try (ProxyChildProcess child = startChild(with("LB_CONTROL", socket.toString()))) {
             awaitPhase(child, "ready");
             assertEquals("rwx------", PosixFilePermissions.toString(Files.getPosixFilePermissions(socket.getParent())));
         }
@@ -676,8 +681,8 @@
     /** Guards against two processes of one name, which reply for each other and which an agent counts as one. */
     @Test
     void secondProcessOfSameNameExitsWithDistinctCode() throws Exception {
-        try (Child first = startChild()) {
-            Peer client = first.greeted();
+        try (ProxyChildProcess first = startChild()) {
+            Peer client = first.connectWhenReady();
             assertServed(first, client, "a1");
             for (int i = 0; i < 2; i++) {
                 String exitLine = assertExits(3, with("LB_SECRET", "s3cret"));
@@ -701,11 +706,11 @@
     @Test
     void releasesNameAndReplacesStaleSocketAfterSigkill() throws Exception {
         for (int i = 0; i < 2; i++) {
-            try (Child child = startChild()) {
+            try (ProxyChildProcess child = startChild()) {
                 awaitPhase(child, "ready");
                 assertEquals(child.process.pid(), ((Number) hello("n").get("pid")).longValue());
                 child.signal("KILL");
-                assertEquals(137, child.ends(10));
+                assertEquals(137, child.awaitExit(10));
                 assertTrue(Files.exists(socket));
             }
         }
@@ -725,15 +730,15 @@
     @Test
     void createsNoSocketAndLoadsNoControlClassWithoutVariable() throws Exception {
         for (Map<String, String> env : List.of(Map.<String, String>of(), Map.of("LB_CONTROL", " "))) {
-            Child.Start startOptions = new Child.Start();
+            ProxyChildProcess.Start startOptions = new ProxyChildProcess.Start();
             startOptions.env = env;
-            try (Child child = startChild(startOptions)) {
-                assertServed(child, child.greeted(), "a1");
-                int before = child.said.size();
+            try (ProxyChildProcess child = startChild(startOptions)) {
+                assertServed(child, child.connectWhenReady(), "a1");
+                int before = child.errorLines.size();
                 child.signal("HUP");
-                child.says(before, "configuration taken");
+                child.awaitErrorLine(before, "configuration taken");
                 child.signal("TERM");
-                assertEquals(0, child.ends(6));
+                assertEquals(0, child.awaitExit(6));
                 String classes = child.classes();
                 assertTrue(
                         classes.contains(" cacheproxy.server.ProxyProcess source:"), "no loaded classes were recorded");
@@ -748,10 +753,10 @@
     /** Guards against a slower start of instances because of the agents' remote access, which uses TLS. */
     @Test
     void loadsNoTlsClassWithControlChannel() throws Exception {
-        try (Child child = startChild()) {
+        try (ProxyChildProcess child = startChild()) {
             awaitPhase(child, "ready");
             child.signal("TERM");
-            assertEquals(0, child.ends(6));
+            assertEquals(0, child.awaitExit(6));
             String classes = child.classes();
             assertTrue(classes.contains(" cacheproxy.control.ControlServer "), "no loaded classes were recorded");
             for (String no : List.of(
@@ -764,9 +769,9 @@
     /** Guards against Netty using the JDK's logging, which writes on the event loop and opens its own files. */
     @Test
     void installsNettyLoggerBeforeNettyClassesAreUsed() throws Exception {
-        try (Child child = startChild()) {
+        try (ProxyChildProcess child = startChild()) {
             awaitPhase(child, "ready");
-            assertServed(child, child.greeted(), "a1");
+            assertServed(child, child.connectWhenReady(), "a1");
             assertTrue(
                     child.classes().contains(" io.netty.bootstrap.ServerBootstrap "),
                     "no loaded classes were recorded");
--- a/proxy/src/test/java/cacheproxy/server/DescriptorExhaustionTest.java
+++ b/proxy/src/test/java/cacheproxy/server/DescriptorExhaustionTest.java
@@ -48,16 +48,19 @@
                 Peer.Listener node = new Peer.Listener()) {
             Files.writeString(
                     file,
-                    Fixture.json(Fixture.list(1, true, Fixture.entry(0, "SERVING", node)), Fixture.SETTINGS, 1024));
+                    ProxyFixture.json(
+                            ProxyFixture.endpointList(1, true, ProxyFixture.listEntry(0, "SERVING", node)),
+                            ProxyFixture.SETTINGS,
+                            1024));
             ProxyServer proxy = ProxyServer.create(
-                    ProxyConfiguration.load(Fixture.env(file, discovery.address())),
+                    ProxyConfiguration.load(ProxyFixture.env(file, discovery.address())),
                     loop,
                     host,
                     new Log(System::nanoTime, text -> logLines.add(new Line(text, loop.inEventLoop()))),
                     router -> router);
             proxy.open();
             try (Peer client = Peer.to(proxy.address())) {
-                client.send(Fixture.write("charge", "c1", 4000));
+                client.send(ProxyFixture.writeCommand("charge", "c1", 4000));
                 assertTrue(client.line().startsWith("SERVER_ERROR busy")); // rejected, since no command was written
                 Line line = logLines.poll(10, TimeUnit.SECONDS);
                 while (line != null && !line.text().contains("discovery: ")) {
@@ -77,12 +80,12 @@
     /** Requests one key after the other until one arrives at the node, which the router may skip for some of them. */
     private static void assertEventuallyForwarded(Peer client, Peer.Listener node) throws Exception {
         for (int i = 0; i < 100; i++) {
-            client.send(Fixture.read("a" + i, 4000).replace("7f3a9c21e0b4d655", "a" + i));
+            client.send(ProxyFixture.readCommand("a" + i, 4000).replace("7f3a9c21e0b4d655", "a" + i));
             while (!client.ready() && node.count() == 0) {
                 Thread.onSpinWait();
             }
             if (node.count() > 0) {
-                assertEquals("Oa" + i, Arrivals.command(node.next()));
+                assertEquals("Oa" + i, CommandArrivals.readCommandId(node.next()));
                 return;
             }
             assertTrue(client.line().startsWith("SERVER_ERROR busy"));
--- a/proxy/src/test/java/cacheproxy/server/AnsweringDiscovery.java
+++ b/proxy/src/test/java/cacheproxy/server/DiscoveryStandIn.java
@@ -8,21 +8,21 @@
  * A discovery service on a real socket: it rejects as many calls as the test sets, and responds to each further watch
  * immediately with its current list.
  */
-final class AnsweringDiscovery implements Closeable {
+final class DiscoveryStandIn implements Closeable {
     final Peer.Listener listener = new Peer.Listener();
     private final AtomicInteger callsToReject = new AtomicInteger();
     private final AtomicInteger rejectedCalls = new AtomicInteger();
     private final Thread acceptor = new Thread(this::acceptAll, "discovery");
     private volatile String list;
 
-    AnsweringDiscovery(String list) throws IOException {
+    DiscoveryStandIn(String list) throws IOException {
         this.list = list;
         acceptor.setDaemon(true);
         acceptor.start();
     }
 
     /** Sets the list that later watches receive; open watches are not notified. */
-    void holds(String newList) {
+    void setList(String newList) {
         list = newList;
     }
 
@@ -56,7 +56,7 @@
                 return;
             }
             call.send("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
-            Fixture.chunk(call, list);
+            ProxyFixture.sendChunks(call, list);
         } catch (IOException e) {
             // the proxy was killed
         }
--- a/proxy/src/test/java/cacheproxy/server/DiscoveryTest.java
+++ b/proxy/src/test/java/cacheproxy/server/DiscoveryTest.java
@@ -12,8 +12,9 @@
 class DiscoveryTest {
 
     /** Has a request served by a node, on {@code openConnection} or, if that is null, on a new connection. */
-    private static Peer serve(Fixture fixture, Peer client, String id, int node, Peer openConnection) throws Exception {
-        client.send(Fixture.read(id, 4000));
+    private static Peer serve(ProxyFixture fixture, Peer client, String id, int node, Peer openConnection)
+            throws Exception {
+        client.send(ProxyFixture.readCommand(id, 4000));
         Peer connection = openConnection != null
                 ? openConnection
                 : fixture.nodes.get(node).next();
@@ -33,20 +34,23 @@
 
     @Test
     void watchRequestsChangesSinceKnownList() throws Exception {
-        try (Fixture fixture = new Fixture(1)) {
+        try (ProxyFixture fixture = new ProxyFixture(1)) {
             assertEquals("GET /registry/instances?stream=1&index=1 HTTP/1.1", requestLine(fixture.discovery.next()));
         }
     }
 
     @Test
     void sendsNothingToDrainingNodeAndClosesItsIdleConnections() throws Exception {
-        try (Fixture fixture = new Fixture(1)) {
+        try (ProxyFixture fixture = new ProxyFixture(1)) {
             fixture.nodes.add(new Peer.Listener());
             Peer client = fixture.client();
             Peer oldConnection = serve(fixture, client, "a1", 0, null);
             Peer watch = fixture.watch();
-            Fixture.chunk(watch, "");
-            Fixture.chunk(watch, Fixture.list(2, false, fixture.entry(0, "DRAINING"), fixture.entry(1, "SERVING")));
+            ProxyFixture.sendChunks(watch, "");
+            ProxyFixture.sendChunks(
+                    watch,
+                    ProxyFixture.endpointList(
+                            2, false, fixture.listEntry(0, "DRAINING"), fixture.listEntry(1, "SERVING")));
             oldConnection.expectEnd();
             Peer connection = serve(fixture, client, "a2", 1, null);
             serve(fixture, client, "a3", 1, connection);
@@ -57,14 +61,15 @@
     /** Each new machine has a new id: state kept for nodes that are gone would grow without limit. */
     @Test
     void keepsNoStateOfGoneNodesEvenIfNeverListedBefore() throws Exception {
-        try (Fixture fixture = new Fixture(1)) {
+        try (ProxyFixture fixture = new ProxyFixture(1)) {
             Peer watch = fixture.watch();
             String[] goneEntries = new String[100];
             for (int i = 0; i < goneEntries.length; i++) {
-                goneEntries[i] = fixture.entry(0, "DELETED").replace("s-0", "g-" + i);
+                goneEntries[i] = fixture.listEntry(0, "DELETED").replace("s-0", "g-" + i);
             }
-            Fixture.chunk(watch, Fixture.list(2, false, goneEntries));
-            Fixture.chunk(watch, "{}"); // not a list: the proxy closes the watch, after it has accepted the list before
+            ProxyFixture.sendChunks(watch, ProxyFixture.endpointList(2, false, goneEntries));
+            ProxyFixture.sendChunks(
+                    watch, "{}"); // not a list: the proxy closes the watch, after it has accepted the list before
             watch.expectEnd();
             assertEquals(
                     1,
@@ -76,15 +81,15 @@
 
     @Test
     void completesAttemptInFlightAtNodeThatLeavesTheList() throws Exception {
-        try (Fixture fixture = new Fixture(1)) {
+        try (ProxyFixture fixture = new ProxyFixture(1)) {
             fixture.nodes.add(new Peer.Listener());
             Peer client = fixture.client();
             Peer otherClient = fixture.client();
             Peer connectionInUse = serve(fixture, otherClient, "a0", 0, null);
-            client.send(Fixture.read("a1", 4000));
+            client.send(ProxyFixture.readCommand("a1", 4000));
             connectionInUse.line();
             Peer watch = fixture.watch();
-            Fixture.chunk(watch, Fixture.list(2, true, fixture.entry(1, "SERVING")));
+            ProxyFixture.sendChunks(watch, ProxyFixture.endpointList(2, true, fixture.listEntry(1, "SERVING")));
             serve(fixture, otherClient, "a2", 1, null);
             connectionInUse.send("VA 1 Oa1\r\n1\r\n");
             client.expect("VA 1 Oa1", "1");
@@ -94,11 +99,13 @@
 
     @Test
     void skipsMalformedListAndRequestsChangesSinceLastValidOne() throws Exception {
-        try (Fixture fixture = new Fixture(1)) {
+        try (ProxyFixture fixture = new ProxyFixture(1)) {
             Peer watch = fixture.watch();
-            Fixture.chunk(watch, Fixture.list(5, true, fixture.entry(0, "SERVING")));
-            Fixture.chunk(
-                    watch, Fixture.list(6, true, fixture.entry(0, "DRAINING").replace("127.0.0.1", "nowhere")));
+            ProxyFixture.sendChunks(watch, ProxyFixture.endpointList(5, true, fixture.listEntry(0, "SERVING")));
+            ProxyFixture.sendChunks(
+                    watch,
+                    ProxyFixture.endpointList(
+                            6, true, fixture.listEntry(0, "DRAINING").replace("127.0.0.1", "nowhere")));
             watch.expectEnd();
             serve(fixture, fixture.client(), "a1", 0, null);
             assertEquals("GET /registry/instances?stream=1&index=5 HTTP/1.1", requestLine(fixture.discovery.next()));
@@ -107,7 +114,7 @@
 
     @Test
     void retriesFailedCallAndUsesKnownListMeanwhile() throws Exception {
-        try (Fixture fixture = new Fixture(1)) {
+        try (ProxyFixture fixture = new ProxyFixture(1)) {
             Peer call = fixture.discovery.next();
             requestLine(call);
             call.send("HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n");
@@ -119,7 +126,8 @@
 
     @Test
     void startsWatchWithProxyWhereAgentPushesLists() throws Exception {
-        try (Fixture fixture = new Fixture(1, settings -> settings.replace("\"subscribe\"", "\"automatic\""), 1024)) {
+        try (ProxyFixture fixture =
+                new ProxyFixture(1, settings -> settings.replace("\"subscribe\"", "\"automatic\""), 1024)) {
             assertEquals("GET /registry/instances?stream=1&index=1 HTTP/1.1", requestLine(fixture.discovery.next()));
         }
     }
--- a/proxy/src/test/java/cacheproxy/server/EventLoopStallTest.java
+++ b/proxy/src/test/java/cacheproxy/server/EventLoopStallTest.java
@@ -17,8 +17,8 @@
 
     private final List<Peer> nodeConnections = new ArrayList<>();
 
-    private void sendAndAwaitArrival(Fixture fixture, Peer client, int i, int deadlineMs) throws Exception {
-        client.send(Fixture.read("a" + i, deadlineMs));
+    private void sendAndAwaitArrival(ProxyFixture fixture, Peer client, int i, int deadlineMs) throws Exception {
+        client.send(ProxyFixture.readCommand("a" + i, deadlineMs));
         Peer node = fixture.nodes.get(0).next();
         assertTrue(node.line().contains(" Oa" + i + " "));
         nodeConnections.add(node);
@@ -30,7 +30,7 @@
      */
     @Test
     void timeoutsDuringEventLoopStallDoNotCauseLaterRejections() throws Exception {
-        try (Fixture fixture = new Fixture(1)) {
+        try (ProxyFixture fixture = new ProxyFixture(1)) {
             List<Peer> clients = new ArrayList<>();
             for (int i = 0; i < REQUESTS; i++) {
                 clients.add(fixture.client());
@@ -46,7 +46,7 @@
             }
             // all at once on established connections, so that they are in flight when the event loop stops
             for (int i = 0; i < REQUESTS; i++) {
-                clients.get(i).send(Fixture.read("b" + i, DEADLINE_MS));
+                clients.get(i).send(ProxyFixture.readCommand("b" + i, DEADLINE_MS));
             }
             for (Peer node : nodeConnections) {
                 assertTrue(node.line().contains(" Ob"));
@@ -70,7 +70,7 @@
             }
             for (int i = 0; i < REQUESTS; i++) {
                 Peer client = clients.get(i);
-                client.send(Fixture.read("c" + i, 3000));
+                client.send(ProxyFixture.readCommand("c" + i, 3000));
                 Peer node = fixture.nodes.get(0).next();
                 assertTrue(node.line().contains(" Oc" + i + " "));
                 node.send("VA 1 Oc" + i + "\r\n1\r\n");
--- a/proxy/src/test/java/cacheproxy/server/GivenBackTest.java
+++ b/proxy/src/test/java/cacheproxy/server/GivenBackTest.java
@@ -16,18 +16,18 @@
                 + "\r\n";
     }
 
-    private static Peer forwardWrite(Peer client, Arrivals arrivals, String id) throws Exception {
+    private static Peer forwardWrite(Peer client, CommandArrivals arrivals, String id) throws Exception {
         client.send(writeCommand(id));
-        Peer node = arrivals.nextOr(client);
-        assertEquals("O" + id, node == client ? client.line() : Arrivals.command(node));
+        Peer node = arrivals.nextAtNodeOrClient(client);
+        assertEquals("O" + id, node == client ? client.line() : CommandArrivals.readCommandId(node));
         return node;
     }
 
     /** The proxy holds at most 6 MB of request values at a time; those of answered requests must not count. */
     @Test
     void releasesValuesOfAnsweredRequests() throws Exception {
-        try (Fixture fixture = new Fixture(1)) {
-            Arrivals arrivals = new Arrivals(fixture);
+        try (ProxyFixture fixture = new ProxyFixture(1)) {
+            CommandArrivals arrivals = new CommandArrivals(fixture);
             Peer client = fixture.client();
             for (int i = 0; i < 120; i++) {
                 forwardWrite(client, arrivals, "c" + i).send("HD Oc" + i + " c7\r\n");
@@ -38,8 +38,8 @@
 
     @Test
     void releasesValuesWhenClientDisconnects() throws Exception {
-        try (Fixture fixture = new Fixture(1)) {
-            Arrivals arrivals = new Arrivals(fixture);
+        try (ProxyFixture fixture = new ProxyFixture(1)) {
+            CommandArrivals arrivals = new CommandArrivals(fixture);
             for (int i = 0; i < 120; i++) {
                 Peer client = fixture.client();
                 Peer node = forwardWrite(client, arrivals, "c" + i);
@@ -53,13 +53,13 @@
     /** At most 12 MB of responses may wait for their clients; those that were read must not count. */
     @Test
     void releasesResponsesThatWereRead() throws Exception {
-        try (Fixture fixture = new Fixture(1)) {
-            Arrivals arrivals = new Arrivals(fixture);
+        try (ProxyFixture fixture = new ProxyFixture(1)) {
+            CommandArrivals arrivals = new CommandArrivals(fixture);
             Peer client = fixture.client();
             for (int i = 0; i < 15; i++) {
-                client.send(Fixture.read("a" + i, 4000));
+                client.send(ProxyFixture.readCommand("a" + i, 4000));
                 Peer node = arrivals.next();
-                assertEquals("Oa" + i, Arrivals.command(node));
+                assertEquals("Oa" + i, CommandArrivals.readCommandId(node));
                 node.send("VA " + LARGE.length() + " Oa" + i + "\r\n" + LARGE + "\r\n");
                 client.expect("VA " + LARGE.length() + " Oa" + i, LARGE);
             }
@@ -69,16 +69,16 @@
     /** The responses waited behind an earlier request of the same client, which was never answered. */
     @Test
     void releasesWaitingResponsesWhenClientDisconnects() throws Exception {
-        try (Fixture fixture = new Fixture(1)) {
-            Arrivals arrivals = new Arrivals(fixture);
+        try (ProxyFixture fixture = new ProxyFixture(1)) {
+            CommandArrivals arrivals = new CommandArrivals(fixture);
             for (int i = 0; i < 15; i++) {
                 Peer client = fixture.client();
-                client.send(Fixture.write("charge", "c" + i, 4000));
+                client.send(ProxyFixture.writeCommand("charge", "c" + i, 4000));
                 Peer first = arrivals.next();
-                assertEquals("Oc" + i, Arrivals.command(first));
-                client.send(Fixture.read("a" + i, 4000));
+                assertEquals("Oc" + i, CommandArrivals.readCommandId(first));
+                client.send(ProxyFixture.readCommand("a" + i, 4000));
                 Peer second = arrivals.next();
-                assertEquals("Oa" + i, Arrivals.command(second));
+                assertEquals("Oa" + i, CommandArrivals.readCommandId(second));
                 second.send("VA " + LARGE.length() + " Oa" + i + "\r\n" + LARGE + "\r\nsurplus\r\n");
                 second.expectEnd(); // because of the surplus bytes, which shows that the response was read
                 second.close();
@@ -87,9 +87,9 @@
                 first.close();
             }
             Peer client = fixture.client();
-            client.send(Fixture.read("b", 4000));
+            client.send(ProxyFixture.readCommand("b", 4000));
             Peer node = arrivals.next();
-            assertEquals("Ob", Arrivals.command(node));
+            assertEquals("Ob", CommandArrivals.readCommandId(node));
             node.send("VA 1 Ob\r\n1\r\n");
             client.expect("VA 1 Ob", "1");
         }
--- a/proxy/src/test/java/cacheproxy/server/GracefulShutdownRaceTest.java
+++ b/proxy/src/test/java/cacheproxy/server/GracefulShutdownRaceTest.java
@@ -15,7 +15,7 @@
 @Timeout(60)
 class GracefulShutdownRaceTest {
 
-    private static void drainAndAwaitIdleClose(Fixture fixture) throws Exception {
+    private static void drainAndAwaitIdleClose(ProxyFixture fixture) throws Exception {
         Peer idle = fixture.client();
         idle.send("mn\r\n");
         idle.expect("MN");
@@ -24,7 +24,7 @@
     }
 
     private static void serveRead(Peer client, Peer node, String id) throws Exception {
-        assertEquals("O" + id, Arrivals.command(node));
+        assertEquals("O" + id, CommandArrivals.readCommandId(node));
         node.send("VA 1 O" + id + "\r\n1\r\n");
         client.expect("VA 1 O" + id, "1");
     }
@@ -36,21 +36,21 @@
     @Test
     void answersCommandsReadBeforeLastResponse() throws Exception {
         for (int noOpCount : new int[] {0, 1, 40, 300}) {
-            try (Fixture fixture = new Fixture(1)) {
+            try (ProxyFixture fixture = new ProxyFixture(1)) {
                 Peer client = fixture.client();
-                client.send(Fixture.read("a1", 4000));
+                client.send(ProxyFixture.readCommand("a1", 4000));
                 Peer node = fixture.nodes.get(0).next();
-                assertEquals("Oa1", Arrivals.command(node));
+                assertEquals("Oa1", CommandArrivals.readCommandId(node));
                 drainAndAwaitIdleClose(fixture);
-                try (Held heldLoop = new Held(fixture.loop)) {
-                    client.send("mn\r\n".repeat(noOpCount) + Fixture.read("a2", 4000));
+                try (BlockedEventLoop heldLoop = new BlockedEventLoop(fixture.loop)) {
+                    client.send("mn\r\n".repeat(noOpCount) + ProxyFixture.readCommand("a2", 4000));
                     node.send("VA 1 Oa1\r\n1\r\n");
                 }
                 client.expect("VA 1 Oa1", "1");
                 for (int i = 0; i < noOpCount; i++) {
                     client.expect("MN");
                 }
-                serveRead(client, new Arrivals(fixture).nextOr(null, node), "a2");
+                serveRead(client, new CommandArrivals(fixture).nextAtNodeOrClient(null, node), "a2");
                 client.expectEnd();
             }
         }
@@ -59,21 +59,21 @@
     /** Like the previous test, but the response is read before the commands, which had arrived and were unread. */
     @Test
     void answersCommandsUnreadAtLastResponse() throws Exception {
-        try (Fixture fixture = new Fixture(1)) {
+        try (ProxyFixture fixture = new ProxyFixture(1)) {
             Peer client = fixture.client();
-            client.send(Fixture.read("a1", 4000));
+            client.send(ProxyFixture.readCommand("a1", 4000));
             Peer node = fixture.nodes.get(0).next();
-            assertEquals("Oa1", Arrivals.command(node));
+            assertEquals("Oa1", CommandArrivals.readCommandId(node));
             drainAndAwaitIdleClose(fixture);
-            try (Held heldLoop = new Held(fixture.loop)) {
+            try (BlockedEventLoop heldLoop = new BlockedEventLoop(fixture.loop)) {
                 node.send("VA 1 Oa1\r\n1\r\n");
-                client.send(Fixture.read("a2", 4000) + "mn\r\n" + Fixture.read("a3", 4000));
+                client.send(ProxyFixture.readCommand("a2", 4000) + "mn\r\n" + ProxyFixture.readCommand("a3", 4000));
             }
             client.expect("VA 1 Oa1", "1");
-            Arrivals arrivals = new Arrivals(fixture);
+            CommandArrivals arrivals = new CommandArrivals(fixture);
             for (int i = 0; i < 2; i++) {
-                Peer next = arrivals.nextOr(null, node);
-                String id = Arrivals.command(next);
+                Peer next = arrivals.nextAtNodeOrClient(null, node);
+                String id = CommandArrivals.readCommandId(next);
                 next.send("VA 1 " + id + "\r\n1\r\n");
             }
             client.expect("VA 1 Oa2", "1", "MN", "VA 1 Oa3", "1");
@@ -84,13 +84,13 @@
     /** Several commands of one read are answered immediately, one after the other. */
     @Test
     void sendsAllResponsesOfOneReadBeforeClosing() throws Exception {
-        try (Fixture fixture = new Fixture(1)) {
+        try (ProxyFixture fixture = new ProxyFixture(1)) {
             Peer client = fixture.client();
-            client.send(Fixture.read("a1", 4000));
+            client.send(ProxyFixture.readCommand("a1", 4000));
             Peer node = fixture.nodes.get(0).next();
-            assertEquals("Oa1", Arrivals.command(node));
+            assertEquals("Oa1", CommandArrivals.readCommandId(node));
             drainAndAwaitIdleClose(fixture);
-            try (Held heldLoop = new Held(fixture.loop)) {
+            try (BlockedEventLoop heldLoop = new BlockedEventLoop(fixture.loop)) {
                 node.send("VA 1 Oa1\r\n1\r\n");
                 client.send("mn\r\nmn\r\nmn\r\n");
             }
@@ -105,24 +105,25 @@
      */
     @Test
     void answersPartlyReceivedCommand() throws Exception {
-        for (String command : new String[] {Fixture.read("a1", 4000), Fixture.write("charge", "a1", 4000)}) {
+        for (String command :
+                new String[] {ProxyFixture.readCommand("a1", 4000), ProxyFixture.writeCommand("charge", "a1", 4000)}) {
             for (int splitIndex : new int[] {1, 30, command.length() - 1}) {
                 for (boolean unread : new boolean[] {false, true}) {
-                    try (Fixture fixture = new Fixture(1)) {
+                    try (ProxyFixture fixture = new ProxyFixture(1)) {
                         Peer client = fixture.client();
                         Peer idleClient = fixture.client();
                         idleClient.send("mn\r\n");
                         idleClient.expect("MN");
                         client.send("mn\r\n" + (unread ? "" : command.substring(0, splitIndex)));
                         client.expect("MN");
-                        try (Held heldLoop = new Held(fixture.loop)) {
+                        try (BlockedEventLoop heldLoop = new BlockedEventLoop(fixture.loop)) {
                             fixture.loop.submit(() -> fixture.proxy.drain(0));
                             client.send(unread ? command.substring(0, splitIndex) : "");
                         }
                         idleClient.expectEnd(); // all idle connections are closed by now
                         client.send(command.substring(splitIndex));
                         Peer node = fixture.nodes.get(0).next();
-                        assertEquals("Oa1", Arrivals.command(node));
+                        assertEquals("Oa1", CommandArrivals.readCommandId(node));
                         String answer = command.startsWith("mg") ? "VA 1 Oa1\r\n1" : "HD Oa1 c7";
                         node.send(answer + "\r\n");
                         client.expect(answer.split("\r\n"));
@@ -136,11 +137,12 @@
     /** A command that is never completed must not delay the shutdown. */
     @Test
     void rejectsIncompleteCommandBeforeClosing() throws Exception {
-        try (Fixture fixture = new Fixture(1)) {
+        try (ProxyFixture fixture = new ProxyFixture(1)) {
             Peer client = fixture.client();
-            client.send("mn\r\n" + Fixture.read("a1", 4000).substring(0, 30));
+            client.send("mn\r\n" + ProxyFixture.readCommand("a1", 4000).substring(0, 30));
             client.expect("MN");
-            Future<Void> drainDone = fixture.loop.submit(() -> fixture.proxy.drain(0)).get();
+            Future<Void> drainDone =
+                    fixture.loop.submit(() -> fixture.proxy.drain(0)).get();
             client.expect("CLIENT_ERROR the command does not end");
             client.expectEnd();
             client.close();
@@ -155,7 +157,7 @@
     @Test
     void doesNotEvictConnectionWithUnreadRequest() throws Exception {
         for (boolean newClients : new boolean[] {true, false}) {
-            try (Fixture fixture = new Fixture(1, s -> s, 128)) { // 40 of the sockets are for clients
+            try (ProxyFixture fixture = new ProxyFixture(1, s -> s, 128)) { // 40 of the sockets are for clients
                 List<Peer> clients = new ArrayList<>();
                 for (int i = 0; i < 40; i++) {
                     Peer client = fixture.client();
@@ -166,13 +168,15 @@
                         client.expect("MN");
                     }
                 }
-                while (fixture.loop.submit(() -> fixture.proxy.clients.count() != 40).get()) {
+                while (fixture.loop
+                        .submit(() -> fixture.proxy.clients.count() != 40)
+                        .get()) {
                     Thread.onSpinWait();
                 }
                 Peer freshPeer;
-                try (Held heldLoop = new Held(fixture.loop)) {
+                try (BlockedEventLoop heldLoop = new BlockedEventLoop(fixture.loop)) {
                     freshPeer = fixture.client(); // accepted before the request is read
-                    clients.get(0).send(Fixture.read("a1", 4000));
+                    clients.get(0).send(ProxyFixture.readCommand("a1", 4000));
                 }
                 serveRead(clients.get(0), fixture.nodes.get(0).next(), "a1");
                 clients.get(1).expectEnd(); // another connection was evicted
@@ -188,21 +192,24 @@
      */
     @Test
     void doesNotCloseSilentConnectionWithUnreadFirstRequest() throws Exception {
-        HeldRequest heldRequest = new HeldRequest();
-        try (Fixture fixture = new Fixture(1, s -> s, 1024, Fixture::allServing, heldRequest::wrap)) {
+        RequestBlockingRouter heldRequest = new RequestBlockingRouter();
+        try (ProxyFixture fixture =
+                new ProxyFixture(1, s -> s, 1024, ProxyFixture::listOfAllNodes, heldRequest::wrap)) {
             Peer silentClient = fixture.client();
             while (fixture.loop.submit(() -> fixture.proxy.clients.count() != 1).get()) {
                 Thread.onSpinWait();
             }
             long openedNanos = System.nanoTime();
             // not forwarded: its wait is 0
-            fixture.client().send(Fixture.read("b1", 0).replace("d=", HeldRequest.SIZE + "d="));
+            fixture.client()
+                    .send(ProxyFixture.readCommand("b1", 0)
+                            .replace("d=", RequestBlockingRouter.BLOCKED_REQUEST_FIELD + "d="));
             heldRequest.await();
-            silentClient.send(Fixture.read("a1", 4000));
+            silentClient.send(ProxyFixture.readCommand("a1", 4000));
             while (System.nanoTime() - openedNanos < 2_300_000_000L) {
                 Thread.onSpinWait(); // until the timeout has passed
             }
-            heldRequest.goOn();
+            heldRequest.release();
             serveRead(silentClient, fixture.nodes.get(0).next(), "a1");
         }
     }
@@ -210,20 +217,23 @@
     /** Like the previous test, within a command: if its rest has arrived, it must not be rejected as incomplete. */
     @Test
     void doesNotRejectCommandWhoseRestIsUnread() throws Exception {
-        HeldRequest heldRequest = new HeldRequest();
-        try (Fixture fixture = new Fixture(1, s -> s, 1024, Fixture::allServing, heldRequest::wrap)) {
+        RequestBlockingRouter heldRequest = new RequestBlockingRouter();
+        try (ProxyFixture fixture =
+                new ProxyFixture(1, s -> s, 1024, ProxyFixture::listOfAllNodes, heldRequest::wrap)) {
             Peer slowClient = fixture.client();
             slowClient.send("mn\r\nmg 7f3a9c21e0b4d655 v O");
             slowClient.expect("MN");
             long startedNanos = System.nanoTime();
             // not forwarded: its wait is 0
-            fixture.client().send(Fixture.read("b1", 0).replace("d=", HeldRequest.SIZE + "d="));
+            fixture.client()
+                    .send(ProxyFixture.readCommand("b1", 0)
+                            .replace("d=", RequestBlockingRouter.BLOCKED_REQUEST_FIELD + "d="));
             heldRequest.await();
             slowClient.send("a1 Pc=lookup,t=acme,d=4000\r\n");
             while (System.nanoTime() - startedNanos < 2_300_000_000L) {
                 Thread.onSpinWait(); // until the timeout has passed
             }
-            heldRequest.goOn();
+            heldRequest.release();
             serveRead(slowClient, fixture.nodes.get(0).next(), "a1");
         }
     }
@@ -231,14 +241,15 @@
     /** A request whose deadline is after the shutdown notice must get a response before the process ends. */
     @Test
     void failsRequestWithDeadlineAfterShutdownNotice() throws Exception {
-        try (Fixture fixture =
-                new Fixture(1, s -> s.replace("\"deadlineMs\":5000.0", "\"deadlineMs\":60000.0"), 1024)) {
+        try (ProxyFixture fixture =
+                new ProxyFixture(1, s -> s.replace("\"deadlineMs\":5000.0", "\"deadlineMs\":60000.0"), 1024)) {
             Peer client = fixture.client();
-            client.send(Fixture.write("charge", "c1", 60_000) + Fixture.read("a1", 60_000));
+            client.send(ProxyFixture.writeCommand("charge", "c1", 60_000) + ProxyFixture.readCommand("a1", 60_000));
             Peer node = fixture.nodes.get(0).next();
-            Arrivals.command(node);
-            Arrivals.command(fixture.nodes.get(0).next());
-            Future<Void> drainDone = fixture.loop.submit(() -> fixture.proxy.drain(0)).get();
+            CommandArrivals.readCommandId(node);
+            CommandArrivals.readCommandId(fixture.nodes.get(0).next());
+            Future<Void> drainDone =
+                    fixture.loop.submit(() -> fixture.proxy.drain(0)).get();
             client.expect("SERVER_ERROR failed", "SERVER_ERROR failed");
             client.expectEnd();
             client.close();
@@ -253,9 +264,9 @@
      */
     @Test
     void answersRequestsBehindInvalidLineBeforeShutdown() throws Exception {
-        try (Fixture fixture = new Fixture(1)) {
+        try (ProxyFixture fixture = new ProxyFixture(1)) {
             Peer client = fixture.client();
-            client.send("nonsense\r\n" + Fixture.read("a1", 4000));
+            client.send("nonsense\r\n" + ProxyFixture.readCommand("a1", 4000));
             client.expect("ERROR");
             fixture.loop.submit(() -> fixture.proxy.sendLastResponses()).get();
             try (Peer barrier = fixture.client()) {
@@ -264,7 +275,7 @@
             }
             assertTrue(client.ready());
             assertTrue(client.line().startsWith("SERVER_ERROR busy"));
-            client.send("nonsense\r\n" + Fixture.read("a2", 4000));
+            client.send("nonsense\r\n" + ProxyFixture.readCommand("a2", 4000));
             client.expect("ERROR");
             try (Peer barrier = fixture.client()) {
                 barrier.send("mn\r\n");
@@ -279,7 +290,7 @@
     @Test
     void shutdownNoticeFollowsLongestDeadline() throws Exception {
         for (double[] deadlineAndNoticeMs : new double[][] {{300, 900}, {2500, 3100}, {60_000, 3600}, {0, 3600}}) {
-            try (Fixture fixture = new Fixture(
+            try (ProxyFixture fixture = new ProxyFixture(
                     1, s -> s.replace("\"deadlineMs\":5000.0", "\"deadlineMs\":" + deadlineAndNoticeMs[0]), 1024)) {
                 assertEquals(deadlineAndNoticeMs[1] * 1000, fixture.proxy.shutdownNoticeUs());
             }
@@ -292,9 +303,9 @@
      */
     @Test
     void answersConnectionsWaitingToBeAccepted() throws Exception {
-        try (Fixture fixture = new Fixture(1)) {
+        try (ProxyFixture fixture = new ProxyFixture(1)) {
             List<Peer> clients = new ArrayList<>();
-            try (Held heldLoop = new Held(fixture.loop)) {
+            try (BlockedEventLoop heldLoop = new BlockedEventLoop(fixture.loop)) {
                 fixture.loop.submit(() -> fixture.proxy.drain(0)); // runs once the loop is released
                 for (int i = 0; i < 300; i++) {
                     Peer client = fixture.client();
@@ -317,24 +328,26 @@
     void doesNotWriteNonIdempotentRequestAfterUnreadClose() throws Exception {
         for (String requestClass : new String[] {"charge", "submit"}) {
             for (boolean reset : new boolean[] {false, true}) {
-                HeldRequest heldRequest = new HeldRequest();
-                try (Fixture fixture = new Fixture(1, x -> x, 1024, Fixture::allServing, heldRequest::wrap)) {
+                RequestBlockingRouter heldRequest = new RequestBlockingRouter();
+                try (ProxyFixture fixture =
+                        new ProxyFixture(1, x -> x, 1024, ProxyFixture::listOfAllNodes, heldRequest::wrap)) {
                     Peer client = fixture.client();
-                    client.send(Fixture.write(requestClass, "c1", 4000));
+                    client.send(ProxyFixture.writeCommand(requestClass, "c1", 4000));
                     Peer node = fixture.nodes.get(0).next();
-                    assertEquals("Oc1", Arrivals.command(node));
+                    assertEquals("Oc1", CommandArrivals.readCommandId(node));
                     node.send("HD Oc1 c7\r\n");
                     client.expect("HD Oc1 c7");
-                    client.send(Fixture.write(requestClass, "c2", 4000).replace("d=", HeldRequest.SIZE + "d="));
+                    client.send(ProxyFixture.writeCommand(requestClass, "c2", 4000)
+                            .replace("d=", RequestBlockingRouter.BLOCKED_REQUEST_FIELD + "d="));
                     heldRequest.await(); // the request is routed after the node has closed the connection
                     if (reset) {
                         node.reset();
                     } else {
                         node.close();
                     }
-                    heldRequest.goOn();
+                    heldRequest.release();
                     Peer freshPeer = fixture.nodes.get(0).next();
-                    assertEquals("Oc2", Arrivals.command(freshPeer));
+                    assertEquals("Oc2", CommandArrivals.readCommandId(freshPeer));
                     freshPeer.send("HD Oc2 c8\r\n");
                     client.expect("HD Oc2 c8");
                 }
@@ -348,33 +361,35 @@
      */
     @Test
     void reroutesRequestWaitingForConnectionWhenNodeRestarts() throws Exception {
-        try (Fixture fixture = new Fixture(
+        try (ProxyFixture fixture = new ProxyFixture(
                         1,
                         s -> s.replace("\"dialTimeoutMs\":400.0", "\"dialTimeoutMs\":9000.0")
                                 .replace("\"drainGraceMs\":1000.0", "\"drainGraceMs\":18000.0")
                                 .replace("\"deadlineMs\":5000.0", "\"deadlineMs\":60000.0"),
                         1024);
-                Peer.Deaf unresponsive = new Peer.Deaf()) {
-            String previousEntry = fixture.entry(0, "SERVING")
+                Peer.UnresponsiveListener unresponsive = new Peer.UnresponsiveListener()) {
+            String previousEntry = fixture.listEntry(0, "SERVING")
                     .replace("s-0", "s-9")
                     .replace(fixture.nodes.get(0).address(), unresponsive.address());
-            Fixture.toldAndEnded(fixture.watch(), Fixture.list(2, true, previousEntry));
+            ProxyFixture.sendListsAndAwaitClose(fixture.watch(), ProxyFixture.endpointList(2, true, previousEntry));
             Peer client = fixture.client();
-            client.send(Fixture.read("a1", 60_000));
-            while (fixture.loop.submit(() -> fixture.proxy.reserved().get("requests") == 0).get()) {
+            client.send(ProxyFixture.readCommand("a1", 60_000));
+            while (fixture.loop
+                    .submit(() -> fixture.proxy.reserved().get("requests") == 0)
+                    .get()) {
                 Thread.onSpinWait();
             }
             // listed again unchanged: the request keeps waiting
-            Fixture.toldAndEnded(fixture.watch(), Fixture.list(3, false, previousEntry));
+            ProxyFixture.sendListsAndAwaitClose(fixture.watch(), ProxyFixture.endpointList(3, false, previousEntry));
             assertFalse(client.ready());
-            Fixture.toldAndEnded(
+            ProxyFixture.sendListsAndAwaitClose(
                     fixture.watch(),
-                    Fixture.list(
+                    ProxyFixture.endpointList(
                             4,
                             false,
                             previousEntry.replace("\"started_ms\":0", "\"started_ms\":" + System.currentTimeMillis())));
             assertTrue(client.line().startsWith("SERVER_ERROR busy"));
-            Peer node = unresponsive.hear();
+            Peer node = unresponsive.accept();
             client.send("mn\r\n");
             client.expect("MN");
             assertFalse(node.ready());
@@ -384,24 +399,26 @@
     /** A request that waits for a connection must not be sent to an address that no longer belongs to the node. */
     @Test
     void doesNotSendWaitingRequestToPreviousAddress() throws Exception {
-        try (Fixture fixture = new Fixture(
+        try (ProxyFixture fixture = new ProxyFixture(
                         1,
                         s -> s.replace("\"dialTimeoutMs\":400.0", "\"dialTimeoutMs\":9000.0")
                                 .replace("\"drainGraceMs\":1000.0", "\"drainGraceMs\":18000.0"),
                         1024);
-                Peer.Deaf unresponsive = new Peer.Deaf()) {
-            String currentEntry = fixture.entry(0, "SERVING").replace("s-0", "s-9");
+                Peer.UnresponsiveListener unresponsive = new Peer.UnresponsiveListener()) {
+            String currentEntry = fixture.listEntry(0, "SERVING").replace("s-0", "s-9");
             String previousEntry = currentEntry.replace(fixture.nodes.get(0).address(), unresponsive.address());
-            Fixture.toldAndEnded(fixture.watch(), Fixture.list(2, true, previousEntry));
+            ProxyFixture.sendListsAndAwaitClose(fixture.watch(), ProxyFixture.endpointList(2, true, previousEntry));
             Peer client = fixture.client();
-            client.send(Fixture.write("charge", "c1", 4900));
-            while (fixture.loop.submit(() -> fixture.proxy.reserved().get("requests") == 0).get()) {
+            client.send(ProxyFixture.writeCommand("charge", "c1", 4900));
+            while (fixture.loop
+                    .submit(() -> fixture.proxy.reserved().get("requests") == 0)
+                    .get()) {
                 Thread.onSpinWait();
             }
-            Fixture.toldAndEnded(fixture.watch(), Fixture.list(3, true, currentEntry));
+            ProxyFixture.sendListsAndAwaitClose(fixture.watch(), ProxyFixture.endpointList(3, true, currentEntry));
             assertTrue(client.line().startsWith("SERVER_ERROR busy")); // not sent to any node
-            unresponsive.hear().expectEnd();
-            client.send(Fixture.read("a1", 4000));
+            unresponsive.accept().expectEnd();
+            client.send(ProxyFixture.readCommand("a1", 4000));
             serveRead(client, fixture.nodes.get(0).next(), "a1");
             assertFalse(client.ready());
         }
@@ -414,17 +431,22 @@
      */
     @Test
     void closesSlowReaderWithIncompleteCommand() throws Exception {
-        try (Fixture fixture = new Fixture(1)) {
+        try (ProxyFixture fixture = new ProxyFixture(1)) {
             Peer client = fixture.client();
-            client.send(Fixture.read("a1", 4000) + Fixture.read("a2", 4000) + Fixture.read("a3", 4000)
-                    + Fixture.read("a4", 4000) + Fixture.read("a5", 4000) + Fixture.read("a6", 4000) + "mg 7f3a");
-            Arrivals arrivals = new Arrivals(fixture);
+            client.send(ProxyFixture.readCommand("a1", 4000) + ProxyFixture.readCommand("a2", 4000)
+                    + ProxyFixture.readCommand("a3", 4000) + ProxyFixture.readCommand("a4", 4000)
+                    + ProxyFixture.readCommand("a5", 4000) + ProxyFixture.readCommand("a6", 4000) + "mg 7f3a");
+            CommandArrivals arrivals = new CommandArrivals(fixture);
             String largeValue = "0123456789".repeat(100_000);
             for (int i = 0; i < 6; i++) {
                 Peer node = arrivals.next();
-                node.send("VA " + largeValue.length() + " " + Arrivals.command(node) + "\r\n" + largeValue + "\r\n");
+                node.send("VA " + largeValue.length() + " " + CommandArrivals.readCommandId(node) + "\r\n" + largeValue
+                        + "\r\n");
             }
-            while (fixture.loop.submit(() -> fixture.proxy.reserved().get("requests")).get() > 0) {
+            while (fixture.loop
+                            .submit(() -> fixture.proxy.reserved().get("requests"))
+                            .get()
+                    > 0) {
                 Thread.onSpinWait();
             }
             drainAndAwaitIdleClose(fixture);
--- a/proxy/src/test/java/cacheproxy/server/HedgedResponseTest.java
+++ b/proxy/src/test/java/cacheproxy/server/HedgedResponseTest.java
@@ -15,29 +15,29 @@
     /** Both attempts are in flight and neither may be cancelled; the first response waits behind an earlier request. */
     @Test
     void firstResponseOfHedgedRequestWinsAndSecondIsIgnored() throws Exception {
-        try (Fixture fixture = new Fixture(
+        try (ProxyFixture fixture = new ProxyFixture(
                 2,
                 s -> s.replace("\"secondCopies\":false", "\"secondCopies\":true")
                         .replace("\"mayCancel\":true", "\"mayCancel\":false"),
                 1024)) {
-            Arrivals arrivals = new Arrivals(fixture);
+            CommandArrivals arrivals = new CommandArrivals(fixture);
             Peer client = fixture.client();
             for (int i = 0; i < 50; i++) { // earns the budget for one hedged request
-                client.send(Fixture.read("u" + i, 4000).replace("7f3a9c21e0b4d655", "a" + i));
+                client.send(ProxyFixture.readCommand("u" + i, 4000).replace("7f3a9c21e0b4d655", "a" + i));
                 Peer node = arrivals.next();
-                assertEquals("Ou" + i, Arrivals.command(node));
+                assertEquals("Ou" + i, CommandArrivals.readCommandId(node));
                 node.send("VA 1 Ou" + i + "\r\n1\r\n");
                 client.expect("VA 1 Ou" + i, "1");
             }
-            client.send(Fixture.write("charge", "c1", 4900));
+            client.send(ProxyFixture.writeCommand("charge", "c1", 4900));
             Peer charge = arrivals.next();
-            assertEquals("Oc1", Arrivals.command(charge));
-            client.send(Fixture.read("a1", 4900));
+            assertEquals("Oc1", CommandArrivals.readCommandId(charge));
+            client.send(ProxyFixture.readCommand("a1", 4900));
             Peer first = arrivals.next();
-            assertEquals("Oa1", Arrivals.command(first));
+            assertEquals("Oa1", CommandArrivals.readCommandId(first));
             Peer second = arrivals.next(); // sent after part of the latency objective has passed
-            assertEquals("Oa1", Arrivals.command(second));
-            assertNotSame(arrivals.node(first), arrivals.node(second));
+            assertEquals("Oa1", CommandArrivals.readCommandId(second));
+            assertNotSame(arrivals.nodeIndex(first), arrivals.nodeIndex(second));
             respondAndAwaitClose(second, "2");
             respondAndAwaitClose(first, "1");
             charge.send("HD Oc1 c7\r\n");
--- a/proxy/src/test/java/cacheproxy/server/IndentedListTest.java
+++ b/proxy/src/test/java/cacheproxy/server/IndentedListTest.java
@@ -29,9 +29,9 @@
     }
 
     /** An idle connection of the first node; the proxy closes it once it has received the drain. */
-    private static Peer idleConnection(Fixture fixture) throws Exception {
+    private static Peer idleConnection(ProxyFixture fixture) throws Exception {
         Peer client = fixture.client();
-        client.send(Fixture.read("a1", 4000));
+        client.send(ProxyFixture.readCommand("a1", 4000));
         Peer node = fixture.nodes.get(0).next();
         node.line();
         node.send("VA 1 Oa1\r\n1\r\n");
@@ -42,7 +42,7 @@
     /** When each line was parsed as a list of its own, none could be parsed, and the drain in the list was lost. */
     @Test
     void acceptsIndentedListOnWatch() throws Exception {
-        try (Fixture fixture = new Fixture(1)) {
+        try (ProxyFixture fixture = new ProxyFixture(1)) {
             Peer node = idleConnection(fixture);
             Peer watch = fixture.watch();
             sendChunk(watch, INDENTED.formatted(fixture.nodes.get(0).address()) + "\n");
@@ -52,7 +52,7 @@
 
     @Test
     void acceptsIndentedListInChunksOfOneByte() throws Exception {
-        try (Fixture fixture = new Fixture(1)) {
+        try (ProxyFixture fixture = new ProxyFixture(1)) {
             Peer node = idleConnection(fixture);
             Peer watch = fixture.watch();
             for (char character :
@@ -66,12 +66,12 @@
     @Test
     void acceptsIndentedListAfterAnotherListWhateverSeparatesThem() throws Exception {
         for (String separator : new String[] {"", "\n", "\r\n\r\n", "  "}) {
-            try (Fixture fixture = new Fixture(1)) {
+            try (ProxyFixture fixture = new ProxyFixture(1)) {
                 Peer node = idleConnection(fixture);
                 Peer watch = fixture.watch();
                 sendChunk(
                         watch,
-                        Fixture.list(1, false)
+                        ProxyFixture.endpointList(1, false)
                                 + separator
                                 + INDENTED.formatted(fixture.nodes.get(0).address()));
                 node.expectEnd();
@@ -82,7 +82,7 @@
     /** A list that never ends would keep a watch from timing out as silent, and fill the memory. */
     @Test
     void closesWatchWhoseListIsNotCompletedInTime() throws Exception {
-        try (Fixture fixture = new Fixture(1)) {
+        try (ProxyFixture fixture = new ProxyFixture(1)) {
             Peer watch = fixture.watch();
             Thread slowSender = new Thread(() -> {
                 try {
@@ -104,7 +104,7 @@
 
     @Test
     void closesWatchWhoseListExceedsSizeLimit() throws Exception {
-        try (Fixture fixture = new Fixture(1)) {
+        try (ProxyFixture fixture = new ProxyFixture(1)) {
             Peer watch = fixture.watch();
             sendChunk(watch, "{\"version\":2,\"servers\":[\n");
             String block = " ".repeat(4095) + "\n";
@@ -124,7 +124,7 @@
     /** Valid lists of the same read as a malformed one are accepted: a drain in them may already count as notified. */
     @Test
     void acceptsListThatFollowsMalformedList() throws Exception {
-        try (Fixture fixture = new Fixture(1)) {
+        try (ProxyFixture fixture = new ProxyFixture(1)) {
             Peer node = idleConnection(fixture);
             Peer watch = fixture.watch();
             sendChunk(
--- a/proxy/src/test/java/cacheproxy/server/JitWarmUpTest.java
+++ b/proxy/src/test/java/cacheproxy/server/JitWarmUpTest.java
@@ -25,7 +25,7 @@
     @Test
     void servesGeneratedRequestsOfAllClasses() throws Exception {
         List<String> logLines = new ArrayList<>();
-        try (Fixture fixture = new Fixture(1)) {
+        try (ProxyFixture fixture = new ProxyFixture(1)) {
             int served = JitWarmUp.run(fixture.config, fixture.loop, new Log(System::nanoTime, logLines::add));
             assertTrue(served > JitWarmUp.REQUESTS * 2 / 3, "served " + served + " " + logLines);
             assertEquals(List.of(), logLines);
@@ -35,10 +35,10 @@
 
     @Test
     void leavesNoStateInProxy() throws Exception {
-        try (Fixture fixture = new Fixture(1)) {
-            JitWarmUp.run(fixture.config, fixture.loop, Fixture.log());
+        try (ProxyFixture fixture = new ProxyFixture(1)) {
+            JitWarmUp.run(fixture.config, fixture.loop, ProxyFixture.log());
             Peer client = fixture.client();
-            client.send(Fixture.read("a1", 4000));
+            client.send(ProxyFixture.readCommand("a1", 4000));
             Peer node = fixture.nodes.get(0).next();
             assertTrue(node.line().contains(" Oa1 "));
             node.send("VA 1 Oa1\r\n1\r\n");
@@ -54,12 +54,12 @@
     /** Whatever the settings are, a request class that is rejected or unknown must not delay the start. */
     @Test
     void endsIfNoRequestCanBeServed() throws Exception {
-        try (Fixture fixture = new Fixture(
+        try (ProxyFixture fixture = new ProxyFixture(
                 1,
                 settings -> settings.replace("\"deadlineMs\":5000.0", "\"deadlineMs\":1.0")
                         .replace("\"targetMs\":750.0", "\"targetMs\":1.0"),
                 1024)) {
-            JitWarmUp.run(fixture.config, fixture.loop, Fixture.log());
+            JitWarmUp.run(fixture.config, fixture.loop, ProxyFixture.log());
             fixture.client().send("mn\r\n");
         }
     }
@@ -69,8 +69,8 @@
     void skipsNamesThatNoCommandCanContain() throws Exception {
         for (String name : new String[] {"look,up", "look up", ""}) {
             List<String> logLines = new ArrayList<>();
-            try (Fixture fixture =
-                    new Fixture(1, settings -> settings.replace("\"lookup\"", "\"" + name + "\""), 1024)) {
+            try (ProxyFixture fixture =
+                    new ProxyFixture(1, settings -> settings.replace("\"lookup\"", "\"" + name + "\""), 1024)) {
                 int served = JitWarmUp.run(fixture.config, fixture.loop, new Log(System::nanoTime, logLines::add));
                 assertTrue(served > JitWarmUp.REQUESTS * 2 / 3, "served " + served + " " + logLines);
                 assertEquals(List.of(), logLines);
@@ -81,7 +81,8 @@
     @Test
     void logsIfNoNameCanBeUsedInCommand() throws Exception {
         List<String> logLines = new ArrayList<>();
-        try (Fixture fixture = new Fixture(1, settings -> settings.replace("\"acme\"", "\"acme, inc\""), 1024)) {
+        try (ProxyFixture fixture =
+                new ProxyFixture(1, settings -> settings.replace("\"acme\"", "\"acme, inc\""), 1024)) {
             assertEquals(0, JitWarmUp.run(fixture.config, fixture.loop, new Log(System::nanoTime, logLines::add)));
             assertTrue(
                     logLines.size() == 1 && logLines.get(0).contains("a name that a command can hold"),
@@ -92,12 +93,13 @@
     @Test
     void acceptsNonAsciiNames() throws Exception {
         List<String> logLines = new ArrayList<>();
-        try (Fixture fixture = new Fixture(
+        try (ProxyFixture fixture = new ProxyFixture(
                 1, settings -> settings.replace("\"lookup\"", "\"búsqueda\"").replace("\"acme\"", "\"コート\""), 1024)) {
             int served = JitWarmUp.run(fixture.config, fixture.loop, new Log(System::nanoTime, logLines::add));
             assertTrue(served > JitWarmUp.REQUESTS * 2 / 3, "served " + served + " " + logLines);
-            String request =
-                    Fixture.read("a1", 4000).replace("lookup", "búsqueda").replace("acme", "コート");
+            String request = ProxyFixture.readCommand("a1", 4000)
+                    .replace("lookup", "búsqueda")
+                    .replace("acme", "コート");
             byte[] requestBytes = request.getBytes(java.nio.charset.StandardCharsets.UTF_8);
             Peer client = fixture.client();
             client.socket.getOutputStream().write(requestBytes);
@@ -114,9 +116,9 @@
     /** Otherwise frequent restarts would fill the directory of temporary files, which may be kept in memory. */
     @Test
     void leavesNoTemporaryFiles() throws Exception {
-        try (Fixture fixture = new Fixture(1)) {
+        try (ProxyFixture fixture = new ProxyFixture(1)) {
             List<Path> directoriesBefore = temporaryDirectories();
-            JitWarmUp.run(fixture.config, fixture.loop, Fixture.log());
+            JitWarmUp.run(fixture.config, fixture.loop, ProxyFixture.log());
             List<Path> leftDirectories = new ArrayList<>(temporaryDirectories());
             leftDirectories.removeAll(directoriesBefore);
             // other runs share the directory of temporary files: only look for files of the warm-up
--- a/proxy/src/test/java/cacheproxy/server/LateBusyTest.java
+++ b/proxy/src/test/java/cacheproxy/server/LateBusyTest.java
@@ -18,9 +18,9 @@
     private static final String BUSY = "SERVER_ERROR busy\r\n";
     private static final String FAILED = "SERVER_ERROR failed\r\n";
     private static final String KEY = "7f3a9c21e0b4d655";
-    private static final String LOOKUP = Fixture.read("?", 4000);
-    private static final String CHARGE = Fixture.write("charge", "?", 4000);
-    private static final String SUBMIT = Fixture.write("submit", "?", 4000);
+    private static final String LOOKUP = ProxyFixture.readCommand("?", 4000);
+    private static final String CHARGE = ProxyFixture.writeCommand("charge", "?", 4000);
+    private static final String SUBMIT = ProxyFixture.writeCommand("submit", "?", 4000);
 
     /** A request that reached a node: the node's end of the connection and the request's id. */
     private record ForwardedRequest(Peer node, String id) {
@@ -32,12 +32,12 @@
     }
 
     /** Allows hedged requests. Without them a second busy closes a connection: an earlier attempt may be in flight. */
-    private static Fixture hedgingFixture(int nodes) throws Exception {
-        return new Fixture(nodes, s -> s.replace("\"secondCopies\":false", "\"secondCopies\":true"), 1024);
+    private static ProxyFixture hedgingFixture(int nodes) throws Exception {
+        return new ProxyFixture(nodes, s -> s.replace("\"secondCopies\":false", "\"secondCopies\":true"), 1024);
     }
 
-    private static Fixture sharedConnectionFixture(int nodes) throws Exception {
-        return new Fixture(
+    private static ProxyFixture sharedConnectionFixture(int nodes) throws Exception {
+        return new ProxyFixture(
                 nodes,
                 s -> s.replace("\"multiplex\":1", "\"multiplex\":4")
                         .replace("\"secondCopies\":false", "\"secondCopies\":true"),
@@ -45,22 +45,22 @@
     }
 
     /** Serves requests first, so that one failure has little weight; each key occurs once, so that none is hot. */
-    private static void serveRequests(Peer client, Arrivals arrivals) throws Exception {
+    private static void serveRequests(Peer client, CommandArrivals arrivals) throws Exception {
         for (int i = 0; i < 30; i++) {
             client.send(LOOKUP.replace("?", "a-" + i).replace(KEY, "a" + i));
             Peer node = arrivals.next();
-            new ForwardedRequest(node, Arrivals.command(node)).serve(client);
+            new ForwardedRequest(node, CommandArrivals.readCommandId(node)).serve(client);
         }
     }
 
     /** Sends requests until one reaches a node: after a failure the proxy may reject some immediately. */
-    private static ForwardedRequest sendUntilForwarded(Peer client, Arrivals arrivals, String id, String command)
+    private static ForwardedRequest sendUntilForwarded(Peer client, CommandArrivals arrivals, String id, String command)
             throws Exception {
         for (int i = 0; i < 50; i++) {
             client.send(command.replace("?", id + "-" + i));
-            Peer readyPeer = arrivals.nextOr(client);
+            Peer readyPeer = arrivals.nextAtNodeOrClient(client);
             if (readyPeer != client) {
-                assertEquals("O" + id + "-" + i, Arrivals.command(readyPeer));
+                assertEquals("O" + id + "-" + i, CommandArrivals.readCommandId(readyPeer));
                 return new ForwardedRequest(readyPeer, "O" + id + "-" + i);
             }
             assertTrue(client.line().startsWith("SERVER_ERROR busy"));
@@ -69,7 +69,7 @@
     }
 
     /** Sends a lookup that the only node answers with an error line; returns its connection, which is idle then. */
-    private static Peer failLookup(Peer client, Arrivals arrivals, String id, String line) throws Exception {
+    private static Peer failLookup(Peer client, CommandArrivals arrivals, String id, String line) throws Exception {
         Peer node = sendUntilForwarded(client, arrivals, id, LOOKUP).node();
         node.send(line);
         assertTrue(client.line().startsWith("SERVER_ERROR busy"));
@@ -78,27 +78,27 @@
 
     @Test
     void lateDuplicateBusyDoesNotRetryNextCharge() throws Exception {
-        try (Fixture fixture = new Fixture(2)) {
-            Arrivals arrivals = new Arrivals(fixture);
+        try (ProxyFixture fixture = new ProxyFixture(2)) {
+            CommandArrivals arrivals = new CommandArrivals(fixture);
             Peer client = fixture.client();
             serveRequests(client, arrivals);
             ForwardedRequest lookup = sendUntilForwarded(client, arrivals, "a", LOOKUP);
             lookup.node().send(BUSY);
             Peer otherConnection = arrivals.next();
-            assertEquals(lookup.id(), Arrivals.command(otherConnection));
+            assertEquals(lookup.id(), CommandArrivals.readCommandId(otherConnection));
             new ForwardedRequest(otherConnection, lookup.id()).serve(client);
             ForwardedRequest charge = sendUntilForwarded(client, arrivals, "c", CHARGE);
             lookup.node().send(BUSY);
             charge.node().send("HD " + charge.id() + " c7\r\n");
-            assertSame(client, arrivals.nextOr(client), "sent to a second node");
+            assertSame(client, arrivals.nextAtNodeOrClient(client), "sent to a second node");
             client.expect("HD " + charge.id() + " c7");
         }
     }
 
     @Test
     void lateDuplicateBusyDoesNotRejectNextCharge() throws Exception {
-        try (Fixture fixture = new Fixture(1)) {
-            Arrivals arrivals = new Arrivals(fixture);
+        try (ProxyFixture fixture = new ProxyFixture(1)) {
+            CommandArrivals arrivals = new CommandArrivals(fixture);
             Peer client = fixture.client();
             serveRequests(client, arrivals);
             Peer errorConnection = failLookup(client, arrivals, "a", BUSY);
@@ -111,8 +111,8 @@
     /** Any line without an id may be duplicated; a duplicate 'failed' would fail a request that was served. */
     @Test
     void lateDuplicateFailedDoesNotFailNextCharge() throws Exception {
-        try (Fixture fixture = new Fixture(1)) {
-            Arrivals arrivals = new Arrivals(fixture);
+        try (ProxyFixture fixture = new ProxyFixture(1)) {
+            CommandArrivals arrivals = new CommandArrivals(fixture);
             Peer client = fixture.client();
             serveRequests(client, arrivals);
             Peer errorConnection = failLookup(client, arrivals, "a", FAILED);
@@ -127,8 +127,8 @@
     void writesAvoidConnectionAfterErrorLine() throws Exception {
         for (String line : new String[] {BUSY, FAILED}) {
             for (String command : new String[] {CHARGE, SUBMIT}) {
-                try (Fixture fixture = new Fixture(1)) {
-                    Arrivals arrivals = new Arrivals(fixture);
+                try (ProxyFixture fixture = new ProxyFixture(1)) {
+                    CommandArrivals arrivals = new CommandArrivals(fixture);
                     Peer client = fixture.client();
                     serveRequests(client, arrivals);
                     Peer errorConnection = failLookup(client, arrivals, "a", line);
@@ -144,8 +144,8 @@
     /** An overloaded node answers busy all the time, and each new connection would cost it a handshake. */
     @Test
     void lookupsReuseConnectionAfterBusy() throws Exception {
-        try (Fixture fixture = hedgingFixture(1)) {
-            Arrivals arrivals = new Arrivals(fixture);
+        try (ProxyFixture fixture = hedgingFixture(1)) {
+            CommandArrivals arrivals = new CommandArrivals(fixture);
             Peer client = fixture.client();
             serveRequests(client, arrivals);
             for (int i = 0; i < 10; i++) {
@@ -159,8 +159,8 @@
     /** If lookups used unrestricted connections first, they would restrict them, and each charge need a new one. */
     @Test
     void chargesReuseConnectionsAmongBusyLookups() throws Exception {
-        try (Fixture fixture = hedgingFixture(1)) {
-            Arrivals arrivals = new Arrivals(fixture);
+        try (ProxyFixture fixture = hedgingFixture(1)) {
+            CommandArrivals arrivals = new CommandArrivals(fixture);
             Peer client = fixture.client();
             serveRequests(client, arrivals);
             for (int i = 0; i < 10; i++) {
@@ -174,16 +174,17 @@
 
     @Test
     void retriesChargeAfterUnambiguousBusy() throws Exception {
-        try (Fixture fixture = new Fixture(2)) {
-            Arrivals arrivals = new Arrivals(fixture);
+        try (ProxyFixture fixture = new ProxyFixture(2)) {
+            CommandArrivals arrivals = new CommandArrivals(fixture);
             Peer client = fixture.client();
             serveRequests(client, arrivals);
             ForwardedRequest charge = sendUntilForwarded(client, arrivals, "c", CHARGE);
-            assertEquals(1, fixture.nodes.get(arrivals.node(charge.node())).count(), "expected a reused connection");
+            assertEquals(
+                    1, fixture.nodes.get(arrivals.nodeIndex(charge.node())).count(), "expected a reused connection");
             charge.node().send(BUSY);
             Peer second = arrivals.next();
             assertNotSame(charge.node(), second);
-            assertEquals(charge.id(), Arrivals.command(second));
+            assertEquals(charge.id(), CommandArrivals.readCommandId(second));
             new ForwardedRequest(second, charge.id()).serve(client);
         }
     }
@@ -191,8 +192,8 @@
     /** Two busy lines arrive for the lookup in front: the second is for the charge behind it, or a duplicate. */
     @Test
     void ambiguousBusyOnSharedConnectionDoesNotRetryCharge() throws Exception {
-        try (Fixture fixture = sharedConnectionFixture(2)) {
-            Arrivals arrivals = new Arrivals(fixture);
+        try (ProxyFixture fixture = sharedConnectionFixture(2)) {
+            CommandArrivals arrivals = new CommandArrivals(fixture);
             Peer reader = fixture.client();
             Peer otherClient = fixture.client();
             Peer writer = fixture.client();
@@ -205,8 +206,8 @@
             assertSame(front.node(), charge.node(), "lookup and charge share a connection");
             front.node().send(BUSY + BUSY);
             assertSame(elsewhere.node(), arrivals.next(), "the lookup is retried on the other node");
-            assertEquals(front.id(), Arrivals.command(elsewhere.node()));
-            assertSame(writer, arrivals.nextOr(writer), "sent to a second node");
+            assertEquals(front.id(), CommandArrivals.readCommandId(elsewhere.node()));
+            assertSame(writer, arrivals.nextAtNodeOrClient(writer), "sent to a second node");
             writer.expect("SERVER_ERROR failed");
             elsewhere.serve(otherClient);
             new ForwardedRequest(elsewhere.node(), front.id()).serve(reader);
@@ -216,8 +217,8 @@
 
     @Test
     void ambiguousBusyOnSharedConnectionDoesNotRejectCharge() throws Exception {
-        try (Fixture fixture = sharedConnectionFixture(1)) {
-            Arrivals arrivals = new Arrivals(fixture);
+        try (ProxyFixture fixture = sharedConnectionFixture(1)) {
+            CommandArrivals arrivals = new CommandArrivals(fixture);
             Peer reader = fixture.client();
             Peer writer = fixture.client();
             serveRequests(reader, arrivals);
@@ -233,8 +234,8 @@
     /** A charge must open a new connection, and not share one on which an error line was received. */
     @Test
     void chargesDoNotShareConnectionAfterBusy() throws Exception {
-        try (Fixture fixture = sharedConnectionFixture(1)) {
-            Arrivals arrivals = new Arrivals(fixture);
+        try (ProxyFixture fixture = sharedConnectionFixture(1)) {
+            CommandArrivals arrivals = new CommandArrivals(fixture);
             Peer client = fixture.client();
             serveRequests(client, arrivals);
             Peer errorConnection = failLookup(client, arrivals, "a", BUSY);
--- a/proxy/src/test/java/cacheproxy/server/LeavingCrossingTest.java
+++ b/proxy/src/test/java/cacheproxy/server/LeavingCrossingTest.java
@@ -39,11 +39,11 @@
     /** Disconnects a client whose connection is not read from, and expects its attempt to be cancelled at the node. */
     private static void expectCancelled(String trailingInput, boolean rejectIncompleteCommand) throws Exception {
         for (Disconnect disconnect : DISCONNECTS) {
-            try (Fixture fixture = new Fixture(1, LeavingCrossingTest::withLongDeadlines, 1024)) {
+            try (ProxyFixture fixture = new ProxyFixture(1, LeavingCrossingTest::withLongDeadlines, 1024)) {
                 Peer client = fixture.client();
-                client.send(Fixture.read("a1", LONG_DEADLINE_MS) + trailingInput);
+                client.send(ProxyFixture.readCommand("a1", LONG_DEADLINE_MS) + trailingInput);
                 Peer node = fixture.nodes.get(0).next();
-                assertEquals("Oa1", Arrivals.command(node));
+                assertEquals("Oa1", CommandArrivals.readCommandId(node));
                 if (rejectIncompleteCommand) {
                     fixture.loop
                             .submit(() -> fixture.proxy
@@ -93,9 +93,9 @@
                 for (int requests : new int[] {1, 200}) {
                     StringBuilder commands = new StringBuilder();
                     for (int i = 0; i < requests; i++) {
-                        commands.append(Fixture.read("a" + i, LONG_DEADLINE_MS));
+                        commands.append(ProxyFixture.readCommand("a" + i, LONG_DEADLINE_MS));
                     }
-                    try (Fixture fixture = new Fixture(1, LeavingCrossingTest::withLongDeadlines, 1024)) {
+                    try (ProxyFixture fixture = new ProxyFixture(1, LeavingCrossingTest::withLongDeadlines, 1024)) {
                         Peer client = fixture.client();
                         client.send("nonsense\r\n" + (inSeparateWrite ? "" : commands));
                         client.expect("ERROR");
@@ -107,9 +107,9 @@
                             Thread.onSpinWait();
                         }
                         Peer other = fixture.client();
-                        other.send(Fixture.read("b1", LONG_DEADLINE_MS));
+                        other.send(ProxyFixture.readCommand("b1", LONG_DEADLINE_MS));
                         Peer node = fixture.nodes.get(0).next();
-                        assertEquals("Ob1", Arrivals.command(node));
+                        assertEquals("Ob1", CommandArrivals.readCommandId(node));
                         assertNull(fixture.nodes.get(0).poll());
                     }
                 }
@@ -124,16 +124,16 @@
     @Test
     void doesNotForwardRequestSentDuringStall() throws Exception {
         for (Disconnect disconnect : DISCONNECTS) {
-            try (Fixture fixture = new Fixture(
+            try (ProxyFixture fixture = new ProxyFixture(
                     1,
                     s -> withLongDeadlines(s).replace("\"drainGraceMs\":1000.0", "\"drainGraceMs\":18000.0"),
                     1024)) {
                 Peer client = fixture.client();
                 client.send("mn\r\n");
                 client.expect("MN");
-                try (Held held = new Held(fixture.loop)) {
+                try (BlockedEventLoop held = new BlockedEventLoop(fixture.loop)) {
                     long since = System.nanoTime();
-                    client.send(Fixture.read("a1", LONG_DEADLINE_MS));
+                    client.send(ProxyFixture.readCommand("a1", LONG_DEADLINE_MS));
                     disconnect.apply(client);
                     while (System.nanoTime() - since < 400_000_000L) {
                         Thread.onSpinWait(); // the client has been gone for longer than the loop may be late
@@ -143,8 +143,8 @@
                     Thread.onSpinWait();
                 }
                 Peer other = fixture.client();
-                other.send(Fixture.read("b1", LONG_DEADLINE_MS));
-                assertEquals("Ob1", Arrivals.command(fixture.nodes.get(0).next()));
+                other.send(ProxyFixture.readCommand("b1", LONG_DEADLINE_MS));
+                assertEquals("Ob1", CommandArrivals.readCommandId(fixture.nodes.get(0).next()));
             }
         }
     }
@@ -158,10 +158,10 @@
     }
 
     private static void disconnectsOverLimit(Disconnect disconnect, int requests) throws Exception {
-        try (Fixture fixture = new Fixture(1, LeavingCrossingTest::withLongDeadlines, 1024)) {
+        try (ProxyFixture fixture = new ProxyFixture(1, LeavingCrossingTest::withLongDeadlines, 1024)) {
             StringBuilder commands = new StringBuilder();
             for (int i = 0; i < requests; i++) {
-                commands.append(Fixture.read("a" + i, LONG_DEADLINE_MS));
+                commands.append(ProxyFixture.readCommand("a" + i, LONG_DEADLINE_MS));
             }
             Peer client = fixture.client();
             client.send(commands.toString());
@@ -171,7 +171,7 @@
             }
             disconnect.apply(client);
             for (Peer node : nodes) {
-                Arrivals.command(node);
+                CommandArrivals.readCommandId(node);
                 node.expectEnd();
             }
             for (Peer node = fixture.nodes.get(0).poll();
@@ -194,10 +194,10 @@
     @Test
     void detectsDisconnectByWritingResponses() throws Exception {
         for (Disconnect disconnect : DISCONNECTS.subList(0, 2)) { // a client that only shut down its output reads on
-            try (Fixture fixture = new Fixture(1, LeavingCrossingTest::withLongDeadlines, 1024)) {
+            try (ProxyFixture fixture = new ProxyFixture(1, LeavingCrossingTest::withLongDeadlines, 1024)) {
                 StringBuilder commands = new StringBuilder();
                 for (int i = 0; i < 4000; i++) {
-                    commands.append(Fixture.read("a" + i, LONG_DEADLINE_MS));
+                    commands.append(ProxyFixture.readCommand("a" + i, LONG_DEADLINE_MS));
                 }
                 Peer client = fixture.client();
                 client.send(commands.toString());
@@ -208,7 +208,7 @@
                 disconnect.apply(client);
                 Map<String, Peer> connectionsById = new HashMap<>();
                 for (Peer node : nodes) {
-                    connectionsById.put(Arrivals.command(node), node);
+                    connectionsById.put(CommandArrivals.readCommandId(node), node);
                 }
                 for (String id : List.of("Oa0", "Oa1")) {
                     connectionsById.get(id).send("VA 1 " + id + "\r\n1\r\n");
@@ -236,7 +236,7 @@
     void doesNotForwardRequestWaitingForConnection() throws Exception {
         for (String mayCancel : new String[] {"true", "false"}) {
             for (Disconnect disconnect : DISCONNECTS) {
-                try (Fixture fixture = new Fixture(
+                try (ProxyFixture fixture = new ProxyFixture(
                                 1,
                                 s -> withLongDeadlines(s)
                                         .replace("\"mayCancel\":true", "\"mayCancel\":" + mayCancel)
@@ -245,24 +245,24 @@
                                         .replace("\"multiplex\":1", "\"multiplex\":4")
                                         .replace("\"secondCopies\":false", "\"secondCopies\":true"),
                                 1024);
-                        Peer.Deaf unresponsive = new Peer.Deaf()) {
-                    Fixture.toldAndEnded(
+                        Peer.UnresponsiveListener unresponsive = new Peer.UnresponsiveListener()) {
+                    ProxyFixture.sendListsAndAwaitClose(
                             fixture.watch(),
-                            Fixture.list(
+                            ProxyFixture.endpointList(
                                     2,
                                     true,
-                                    fixture.entry(0, "SERVING")
+                                    fixture.listEntry(0, "SERVING")
                                             .replace("s-0", "s-9")
                                             .replace(fixture.nodes.get(0).address(), unresponsive.address())));
                     Peer client = fixture.client();
                     Peer other = fixture.client();
-                    client.send(Fixture.read("a1", LONG_DEADLINE_MS));
-                    other.send(Fixture.read("b1", LONG_DEADLINE_MS));
+                    client.send(ProxyFixture.readCommand("a1", LONG_DEADLINE_MS));
+                    other.send(ProxyFixture.readCommand("b1", LONG_DEADLINE_MS));
                     awaitRequests(fixture, 2);
                     disconnect.apply(client);
                     awaitRequests(fixture, mayCancel.equals("true") ? 1 : 2, 1);
-                    Peer node = unresponsive.hear();
-                    assertEquals("Ob1", Arrivals.command(node));
+                    Peer node = unresponsive.accept();
+                    assertEquals("Ob1", CommandArrivals.readCommandId(node));
                     node.send("VA 1 Ob1\r\n1\r\n");
                     other.expect("VA 1 Ob1", "1");
                     assertFalse(node.ready());
@@ -271,11 +271,11 @@
         }
     }
 
-    private static void awaitRequests(Fixture fixture, long requests) throws Exception {
+    private static void awaitRequests(ProxyFixture fixture, long requests) throws Exception {
         awaitRequests(fixture, requests, 2);
     }
 
-    private static void awaitRequests(Fixture fixture, long requests, int clients) throws Exception {
+    private static void awaitRequests(ProxyFixture fixture, long requests, int clients) throws Exception {
         while (fixture.loop
                 .submit(() -> fixture.proxy.reserved().get("requests") != requests
                         || fixture.proxy.clients.count() != clients)
@@ -290,16 +290,16 @@
      */
     @Test
     void closesConnectionWithPartlyWrittenRequest() throws Exception {
-        try (Fixture fixture = new Fixture(
+        try (ProxyFixture fixture = new ProxyFixture(
                 1,
                 s -> withLongDeadlines(s)
                         .replace("\"multiplex\":1", "\"multiplex\":100")
                         .replace("\"secondCopies\":false", "\"secondCopies\":true"),
                 1024)) {
             Peer other = fixture.client();
-            other.send(Fixture.read("b1", LONG_DEADLINE_MS));
+            other.send(ProxyFixture.readCommand("b1", LONG_DEADLINE_MS));
             Peer node = fixture.nodes.get(0).next();
-            assertEquals("Ob1", Arrivals.command(node));
+            assertEquals("Ob1", CommandArrivals.readCommandId(node));
             String value = "v".repeat(64 << 10);
             List<Peer> clients = new ArrayList<>();
             for (int i = 0; i < 90; i++) { // 5.9 MB: more than the kernel buffers for a peer that does not read
@@ -330,42 +330,42 @@
      */
     @Test
     void doesNotForwardRestOfReadAfterClose() throws Exception {
-        AtomicReference<Fixture> fixtureReference = new AtomicReference<>();
-        try (Fixture fixture = new Fixture(
+        AtomicReference<ProxyFixture> fixtureReference = new AtomicReference<>();
+        try (ProxyFixture fixture = new ProxyFixture(
                 1,
                 LeavingCrossingTest::withLongDeadlines,
                 1024,
-                Fixture::allServing,
+                ProxyFixture::listOfAllNodes,
                 inner -> closingRouter(inner, fixtureReference))) {
             fixtureReference.set(fixture);
             Peer first = fixture.client();
-            first.send(Fixture.read("r1", LONG_DEADLINE_MS) + Fixture.read("r2", LONG_DEADLINE_MS));
+            first.send(ProxyFixture.readCommand("r1", LONG_DEADLINE_MS) + ProxyFixture.readCommand("r2", LONG_DEADLINE_MS));
             List<Peer> nodes = List.of(fixture.nodes.get(0).next(), fixture.nodes.get(0).next());
             for (Peer node : nodes) {
-                node.send("VA 1 " + Arrivals.command(node) + "\r\n1\r\n");
+                node.send("VA 1 " + CommandArrivals.readCommandId(node) + "\r\n1\r\n");
             }
             first.expect("VA 1 Or1", "1", "VA 1 Or2", "1"); // two connections to the node are idle
             Peer client = fixture.client();
-            client.send(Fixture.read("a1", LONG_DEADLINE_MS).replace("d=", HeldRequest.SIZE + "d=")
-                    + Fixture.read("a2", LONG_DEADLINE_MS));
+            client.send(ProxyFixture.readCommand("a1", LONG_DEADLINE_MS).replace("d=", RequestBlockingRouter.BLOCKED_REQUEST_FIELD + "d=")
+                    + ProxyFixture.readCommand("a2", LONG_DEADLINE_MS));
             client.expectEnd();
             Peer last = fixture.client();
-            last.send(Fixture.read("b1", LONG_DEADLINE_MS));
-            Arrivals arrivals = new Arrivals(fixture);
-            Peer connection = arrivals.nextOr(null, nodes.get(0));
+            last.send(ProxyFixture.readCommand("b1", LONG_DEADLINE_MS));
+            CommandArrivals arrivals = new CommandArrivals(fixture);
+            Peer connection = arrivals.nextAtNodeOrClient(null, nodes.get(0));
             List<String> receivedIds = new ArrayList<>();
-            for (String id = Arrivals.command(connection); !id.equals("Ob1"); id = Arrivals.command(connection)) {
+            for (String id = CommandArrivals.readCommandId(connection); !id.equals("Ob1"); id = CommandArrivals.readCommandId(connection)) {
                 receivedIds.add(id);
                 connection.expectEnd(); // the attempt was cancelled because its client disconnected
                 connection.close();
-                connection = arrivals.nextOr(null, nodes.get(1));
+                connection = arrivals.nextAtNodeOrClient(null, nodes.get(1));
             }
             assertFalse(receivedIds.contains("Oa2"), receivedIds.toString());
         }
     }
 
     /** A router that closes all client connections when it receives a request of {@link HeldRequest#SIZE}. */
-    private static RequestRouter closingRouter(RequestRouter inner, AtomicReference<Fixture> fixtureReference) {
+    private static RequestRouter closingRouter(RequestRouter inner, AtomicReference<ProxyFixture> fixtureReference) {
         return (RequestRouter) java.lang.reflect.Proxy.newProxyInstance(
                 LeavingCrossingTest.class.getClassLoader(),
                 new Class<?>[] {RequestRouter.class},
--- a/proxy/src/test/java/cacheproxy/server/ListedTest.java
+++ b/proxy/src/test/java/cacheproxy/server/ListedTest.java
@@ -13,17 +13,17 @@
 class ListedTest {
     private static final String KEY = "7f3a9c21e0b4d655";
 
-    private static void serveRead(Peer client, Arrivals arrivals, String id, int[] requestsByNode) throws Exception {
-        client.send(Fixture.read(id, 4000).replace(KEY, id));
+    private static void serveRead(Peer client, CommandArrivals arrivals, String id, int[] requestsByNode) throws Exception {
+        client.send(ProxyFixture.readCommand(id, 4000).replace(KEY, id));
         Peer node = arrivals.next();
-        assertEquals("O" + id, Arrivals.command(node));
+        assertEquals("O" + id, CommandArrivals.readCommandId(node));
         node.send("VA 1 O" + id + "\r\n1\r\n");
         client.expect("VA 1 O" + id, "1");
-        requestsByNode[arrivals.node(node)]++;
+        requestsByNode[arrivals.nodeIndex(node)]++;
     }
 
-    private static int requestsToFirstNode(Fixture fixture) throws Exception {
-        Arrivals arrivals = new Arrivals(fixture);
+    private static int requestsToFirstNode(ProxyFixture fixture) throws Exception {
+        CommandArrivals arrivals = new CommandArrivals(fixture);
         Peer client = fixture.client();
         int[] requestsByNode = new int[2];
         for (int i = 0; i < 40; i++) {
@@ -32,19 +32,19 @@
         return requestsByNode[0];
     }
 
-    private static String listOfTwo(Fixture fixture, int version, long startedMs) {
-        return Fixture.list(
+    private static String listOfTwo(ProxyFixture fixture, int version, long startedMs) {
+        return ProxyFixture.endpointList(
                 version,
                 true,
-                fixture.entry(0, "SERVING").replace("\"started_ms\":0", "\"started_ms\":" + startedMs),
-                fixture.entry(1, "SERVING"));
+                fixture.listEntry(0, "SERVING").replace("\"started_ms\":0", "\"started_ms\":" + startedMs),
+                fixture.listEntry(1, "SERVING"));
     }
 
     /** Without slow start, a node that has just started would receive the load of a warm one and be overloaded. */
     @Test
     void sendsFewKeysToNodeThatHasJustStartedByConfiguration() throws Exception {
         long now = System.currentTimeMillis();
-        try (Fixture fixture = new Fixture(2, settings -> settings, 1024, created -> listOfTwo(created, 1, now))) {
+        try (ProxyFixture fixture = new ProxyFixture(2, settings -> settings, 1024, created -> listOfTwo(created, 1, now))) {
             int requests = requestsToFirstNode(fixture);
             assertTrue(requests <= 8, requests + " of 40");
         }
@@ -52,8 +52,8 @@
 
     @Test
     void sendsFewKeysToNodeThatHasJustStartedByDiscovery() throws Exception {
-        try (Fixture fixture = new Fixture(2)) {
-            Fixture.toldAndEnded(fixture.watch(), listOfTwo(fixture, 2, System.currentTimeMillis()));
+        try (ProxyFixture fixture = new ProxyFixture(2)) {
+            ProxyFixture.sendListsAndAwaitClose(fixture.watch(), listOfTwo(fixture, 2, System.currentTimeMillis()));
             int requests = requestsToFirstNode(fixture);
             assertTrue(requests <= 8, requests + " of 40");
         }
@@ -63,8 +63,8 @@
     @Test
     void sendsFullShareToNodeThatStartedLongAgo() throws Exception {
         long startedMs = System.currentTimeMillis() - 25_000; // warm after 24 s
-        try (Fixture fixture =
-                new Fixture(2, settings -> settings, 1024, created -> listOfTwo(created, 1, startedMs))) {
+        try (ProxyFixture fixture =
+                new ProxyFixture(2, settings -> settings, 1024, created -> listOfTwo(created, 1, startedMs))) {
             int requests = requestsToFirstNode(fixture);
             assertTrue(requests >= 10 && requests <= 30, requests + " of 40");
         }
@@ -76,42 +76,42 @@
      * scope.
      */
     private static void assertRetriesStayInScope(String scope, IntFunction<String> entry) throws Exception {
-        try (Fixture fixture = new Fixture(
+        try (ProxyFixture fixture = new ProxyFixture(
                 6,
                 settings -> settings.replace("\"token\",\"group\":\"all\"", "\"token\",\"group\":\"" + scope + "\""),
                 1024,
-                created -> Fixture.list(
+                created -> ProxyFixture.endpointList(
                         1,
                         true,
-                        created.entry(0, "SERVING") + "," + created.entry(1, "SERVING") + ","
-                                + created.entry(2, "SERVING") + ","
+                        created.listEntry(0, "SERVING") + "," + created.listEntry(1, "SERVING") + ","
+                                + created.listEntry(2, "SERVING") + ","
                                 + entry.apply(3)
                                         .replace("AT", created.nodes.get(3).address()) + ","
                                 + entry.apply(4)
                                         .replace("AT", created.nodes.get(4).address()) + ","
                                 + entry.apply(5)
                                         .replace("AT", created.nodes.get(5).address())))) {
-            Arrivals arrivals = new Arrivals(fixture);
+            CommandArrivals arrivals = new CommandArrivals(fixture);
             Peer client = fixture.client();
             int retries = 0;
             for (int i = 0; i < 16; i++) {
                 for (int reads = 0; reads < 5; reads++) {
                     serveRead(client, arrivals, "a" + i + reads, new int[6]); // adds to the retry budget
                 }
-                client.send(Fixture.write("submit", "c" + i, 4000).replace(KEY, "c" + i));
+                client.send(ProxyFixture.writeCommand("submit", "c" + i, 4000).replace(KEY, "c" + i));
                 Peer first = arrivals.next();
-                assertEquals("Oc" + i, Arrivals.command(first));
+                assertEquals("Oc" + i, CommandArrivals.readCommandId(first));
                 first.reset();
-                Peer second = arrivals.nextOr(client);
+                Peer second = arrivals.nextAtNodeOrClient(client);
                 if (second == client) {
                     client.expect("SERVER_ERROR failed"); // no node of the scope was left; it is never rejected as busy
                     continue;
                 }
-                assertEquals("Oc" + i, Arrivals.command(second));
+                assertEquals("Oc" + i, CommandArrivals.readCommandId(second));
                 assertSame(
-                        arrivals.node(first) < 3,
-                        arrivals.node(second) < 3,
-                        "from " + arrivals.node(first) + " to " + arrivals.node(second) + ", another " + scope);
+                        arrivals.nodeIndex(first) < 3,
+                        arrivals.nodeIndex(second) < 3,
+                        "from " + arrivals.nodeIndex(first) + " to " + arrivals.nodeIndex(second) + ", another " + scope);
                 retries++;
                 second.send("HD Oc" + i + " c7\r\n");
                 client.expect("HD Oc" + i + " c7");
@@ -141,28 +141,28 @@
      */
     @Test
     void appliesLaterOfTwoEntriesForOneNode() throws Exception {
-        try (Fixture fixture = new Fixture(1)) {
-            Fixture.toldAndEnded(
-                    fixture.watch(), Fixture.list(2, false, fixture.entry(0, "DELETED"), fixture.entry(0, "SERVING")));
-            serveRead(fixture.client(), new Arrivals(fixture), "a1", new int[1]);
+        try (ProxyFixture fixture = new ProxyFixture(1)) {
+            ProxyFixture.sendListsAndAwaitClose(
+                    fixture.watch(), ProxyFixture.endpointList(2, false, fixture.listEntry(0, "DELETED"), fixture.listEntry(0, "SERVING")));
+            serveRead(fixture.client(), new CommandArrivals(fixture), "a1", new int[1]);
         }
     }
 
     /** The connection in use while the address changes must not be pooled among those of the new address. */
     @Test
     void sendsToNewAddressAfterNodeMovedDuringRequest() throws Exception {
-        try (Fixture fixture = new Fixture(1)) {
+        try (ProxyFixture fixture = new ProxyFixture(1)) {
             Peer client = fixture.client();
-            client.send(Fixture.read("a1", 4000));
+            client.send(ProxyFixture.readCommand("a1", 4000));
             Peer oldConnection = fixture.nodes.get(0).next();
-            assertEquals("Oa1", Arrivals.command(oldConnection));
+            assertEquals("Oa1", CommandArrivals.readCommandId(oldConnection));
             fixture.nodes.add(new Peer.Listener());
-            Fixture.toldAndEnded(
-                    fixture.watch(), Fixture.list(2, false, Fixture.entry(0, "SERVING", fixture.nodes.get(1))));
+            ProxyFixture.sendListsAndAwaitClose(
+                    fixture.watch(), ProxyFixture.endpointList(2, false, ProxyFixture.listEntry(0, "SERVING", fixture.nodes.get(1))));
             oldConnection.send("VA 1 Oa1\r\n1\r\n");
             client.expect("VA 1 Oa1", "1");
-            client.send(Fixture.read("a2", 4000));
-            assertEquals("Oa2", Arrivals.command(fixture.nodes.get(1).next()));
+            client.send(ProxyFixture.readCommand("a2", 4000));
+            assertEquals("Oa2", CommandArrivals.readCommandId(fixture.nodes.get(1).next()));
             oldConnection.expectEnd();
         }
     }
--- a/proxy/src/test/java/cacheproxy/server/MalformedResponseTest.java
+++ b/proxy/src/test/java/cacheproxy/server/MalformedResponseTest.java
@@ -27,8 +27,8 @@
         return line == null ? null : line.split(" ")[3];
     }
 
-    private static Peer serveRead(Fixture fixture, Peer client, String surplus) throws Exception {
-        client.send(Fixture.read("a1", 4000));
+    private static Peer serveRead(ProxyFixture fixture, Peer client, String surplus) throws Exception {
+        client.send(ProxyFixture.readCommand("a1", 4000));
         Peer node = fixture.nodes.get(0).next();
         assertEquals("Oa1", readCommandId(node));
         node.send("VA 1 Oa1\r\n1\r\n" + surplus);
@@ -38,15 +38,15 @@
 
     /** Surplus bytes would be taken for the next response, and a request that is not idempotent would fail. */
     private static void expectNotReused(String surplus) throws Exception {
-        try (Fixture fixture = new Fixture(1)) {
+        try (ProxyFixture fixture = new ProxyFixture(1)) {
             Peer client = fixture.client();
-            client.send(Fixture.read("a1", 4000));
+            client.send(ProxyFixture.readCommand("a1", 4000));
             Peer node = fixture.nodes.get(0).next();
             assertEquals("Oa1", readCommandId(node));
             node.send("VA 1 Oa1\r\n1\r\n" + surplus);
             client.expect("VA 1 Oa1", "1");
             node.expectEnd();
-            client.send(Fixture.write("charge", "c1", 4000));
+            client.send(ProxyFixture.writeCommand("charge", "c1", 4000));
             Peer freshPeer = fixture.nodes.get(0).next();
             assertEquals("Oc1", readCommandId(freshPeer));
             freshPeer.send("HD Oc1 c7\r\n");
@@ -66,10 +66,10 @@
 
     @Test
     void ignoresLateDuplicateResponse() throws Exception {
-        try (Fixture fixture = new Fixture(1)) {
+        try (ProxyFixture fixture = new ProxyFixture(1)) {
             Peer client = fixture.client();
             Peer node = serveRead(fixture, client, "");
-            client.send(Fixture.write("charge", "c1", 4000));
+            client.send(ProxyFixture.writeCommand("charge", "c1", 4000));
             assertEquals("Oc1", readCommandId(node));
             node.send("VA 1 Oa1\r\n1\r\nHD Oc1 c7\r\n");
             client.expect("HD Oc1 c7");
@@ -80,9 +80,9 @@
     /** Without a stall timeout, a stated length that is too large would delay the read until its deadline. */
     @Test
     void retriesReadWithIncompleteResponse() throws Exception {
-        try (Fixture fixture = new Fixture(2)) {
+        try (ProxyFixture fixture = new ProxyFixture(2)) {
             Peer client = fixture.client();
-            client.send(Fixture.read("a1", 4900));
+            client.send(ProxyFixture.readCommand("a1", 4900));
             int first = -1;
             Peer node = null;
             while (node == null) {
@@ -102,9 +102,9 @@
     /** Values of up to 380 KB were observed; rejecting them would close a connection each and fail on every node. */
     @Test
     void servesValueLargerThanClientLimit() throws Exception {
-        try (Fixture fixture = new Fixture(1)) {
+        try (ProxyFixture fixture = new ProxyFixture(1)) {
             Peer client = fixture.client();
-            client.send(Fixture.read("a1", 4900));
+            client.send(ProxyFixture.readCommand("a1", 4900));
             Peer node = fixture.nodes.get(0).next();
             assertEquals("Oa1", readCommandId(node));
             String value = "0123456789".repeat(40_000);
@@ -129,9 +129,9 @@
 
     @Test
     void failsWriteWithoutReceipt() throws Exception {
-        try (Fixture fixture = new Fixture(1)) {
+        try (ProxyFixture fixture = new ProxyFixture(1)) {
             Peer client = fixture.client();
-            client.send(Fixture.write("charge", "c1", 4000));
+            client.send(ProxyFixture.writeCommand("charge", "c1", 4000));
             Peer node = fixture.nodes.get(0).next();
             assertEquals("Oc1", readCommandId(node));
             node.send("HD Oc1\r\n");
--- a/proxy/src/test/java/cacheproxy/server/Peer.java
+++ b/proxy/src/test/java/cacheproxy/server/Peer.java
@@ -169,11 +169,11 @@
     }
 
     /** A listening socket whose backlog is full, so that further connects to it don't complete. */
-    static final class Deaf implements Closeable {
+    static final class UnresponsiveListener implements Closeable {
         private final ServerSocket server = new ServerSocket(0, 1, InetAddress.getLoopbackAddress());
         private final List<Socket> queued = new CopyOnWriteArrayList<>();
 
-        Deaf() throws IOException {
+        UnresponsiveListener() throws IOException {
             for (int i = 0; i < 16; i++) {
                 Socket pending = new Socket();
                 queued.add(pending);
@@ -187,7 +187,7 @@
         }
 
         /** Accepts connections until one is not of those that filled the backlog, and returns that one. */
-        Peer hear() throws IOException {
+        Peer accept() throws IOException {
             server.setSoTimeout(WAIT_MS);
             while (true) {
                 Socket accepted = server.accept();
--- a/proxy/src/test/java/cacheproxy/server/ProcessTest.java
+++ b/proxy/src/test/java/cacheproxy/server/ProcessTest.java
@@ -39,19 +39,19 @@
         node.close();
     }
 
-    private Child startProxy(Child.Start options) throws IOException {
-        return options.with(discovery, Fixture.list(1, true, Fixture.entry(0, "SERVING", node)));
+    private ProxyChildProcess startProxy(ProxyChildProcess.Start options) throws IOException {
+        return options.with(discovery, ProxyFixture.endpointList(1, true, ProxyFixture.listEntry(0, "SERVING", node)));
     }
 
-    private Child startProxy() throws IOException {
-        return startProxy(new Child.Start());
+    private ProxyChildProcess startProxy() throws IOException {
+        return startProxy(new ProxyChildProcess.Start());
     }
 
     /** Has a request served by the node, on {@code openConnection} or, if that is null, on a new connection. */
     private Peer serve(Peer client, String id, Peer openConnection) throws Exception {
-        client.send(Fixture.read(id, 4000));
+        client.send(ProxyFixture.readCommand(id, 4000));
         Peer connection = openConnection != null ? openConnection : node.next();
-        assertEquals("O" + id, Arrivals.command(connection));
+        assertEquals("O" + id, CommandArrivals.readCommandId(connection));
         connection.send("VA 1 O" + id + "\r\n1\r\n");
         client.expect("VA 1 O" + id, "1");
         return connection;
@@ -59,8 +59,8 @@
 
     // ---- standard error ----
 
-    private Child startWithFullPipe() throws IOException {
-        Child.Start options = new Child.Start();
+    private ProxyChildProcess startWithFullPipe() throws IOException {
+        ProxyChildProcess.Start options = new ProxyChildProcess.Start();
         options.shellCommands = FULL_PIPE;
         options.errorOutputUnread = true;
         return startProxy(options);
@@ -69,8 +69,8 @@
     /** If the reader of standard error hangs, a line written on the event loop would block all requests. */
     @Test
     void servesRequestsWithFullPipeOnStandardError() throws Exception {
-        try (Child child = startWithFullPipe()) {
-            Peer client = child.greeted();
+        try (ProxyChildProcess child = startWithFullPipe()) {
+            Peer client = child.connectWhenReady();
             assertTrue(child.process.getErrorStream().available() >= 65_536, "the pipe is full");
             Peer connection = serve(client, "a1", null);
             discovery.next().close(); // this failure is logged
@@ -82,11 +82,11 @@
     /** SIGTERM would hang if the thread that ends the process blocked on writing the last line. */
     @Test
     void exitsOnSigtermWithFullPipeOnStandardError() throws Exception {
-        try (Child child = startWithFullPipe()) {
-            child.greeted().close();
+        try (ProxyChildProcess child = startWithFullPipe()) {
+            child.connectWhenReady().close();
             assertTrue(child.process.getErrorStream().available() >= 65_536, "the pipe is full");
             child.signal("TERM");
-            assertEquals(0, child.ends(6));
+            assertEquals(0, child.awaitExit(6));
         }
     }
 
@@ -96,14 +96,15 @@
     @Test
     void exitsWithCode70IfEventLoopTerminates() throws Exception {
         Path aliveFile = Files.createTempFile("alive", "");
-        Child.Start options = new Child.Start();
+        ProxyChildProcess.Start options = new ProxyChildProcess.Start();
         options.program = new String[] {"cacheproxy.server.CrashingEventLoopMain", aliveFile.toString()};
-        try (Child child = startProxy(options)) {
-            serve(child.greeted(), "a1", null);
+        try (ProxyChildProcess child = startProxy(options)) {
+            serve(child.connectWhenReady(), "a1", null);
             Files.delete(aliveFile);
-            assertEquals(70, child.ends(10));
+            assertEquals(70, child.awaitExit(10));
             assertTrue(
-                    child.said.stream().anyMatch(line -> line.contains("the loop has ended")), child.said.toString());
+                    child.errorLines.stream().anyMatch(line -> line.contains("the loop has ended")),
+                    child.errorLines.toString());
         }
     }
 
@@ -111,14 +112,14 @@
     @Test
     void exitsOnSigtermIfEventLoopHangs() throws Exception {
         Path aliveFile = Files.createTempFile("alive", "");
-        Child.Start options = new Child.Start();
+        ProxyChildProcess.Start options = new ProxyChildProcess.Start();
         options.program = new String[] {"cacheproxy.server.HangingEventLoopMain", aliveFile.toString()};
-        try (Child child = startProxy(options)) {
-            child.greeted();
+        try (ProxyChildProcess child = startProxy(options)) {
+            child.connectWhenReady();
             Files.delete(aliveFile);
-            child.says(0, "hanging");
+            child.awaitErrorLine(0, "hanging");
             child.signal("TERM");
-            assertEquals(0, child.ends(12));
+            assertEquals(0, child.awaitExit(12));
             child.assertErrorLine("the loop hangs");
         }
     }
@@ -129,10 +130,10 @@
      */
     @Test
     void nettyLogsToLogOfProxy() throws Exception {
-        Child.Start options = new Child.Start();
+        ProxyChildProcess.Start options = new ProxyChildProcess.Start();
         options.program = new String[] {"cacheproxy.server.NettyLoggerProbe"};
-        try (Child child = startProxy(options)) {
-            child.says(0, "LOGGER ");
+        try (ProxyChildProcess child = startProxy(options)) {
+            child.awaitErrorLine(0, "LOGGER ");
             child.assertErrorLine("LOGGER cacheproxy.logging.NettyLoggerFactory");
         }
     }
@@ -143,12 +144,12 @@
     @Test
     void exitsWithCode2AfterFailedStartWithFullPipeOnStandardError() throws Exception {
         try (ServerSocket portHolder = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
-            Child.Start options = new Child.Start();
+            ProxyChildProcess.Start options = new ProxyChildProcess.Start();
             options.port = portHolder.getLocalPort();
             options.shellCommands = FULL_PIPE;
             options.errorOutputUnread = true;
-            try (Child child = startProxy(options)) {
-                assertEquals(2, child.ends(15));
+            try (ProxyChildProcess child = startProxy(options)) {
+                assertEquals(2, child.awaitExit(15));
             }
         }
     }
@@ -156,10 +157,10 @@
     /** Threads that were already started would keep a process running that serves nobody. */
     @Test
     void exitsWithCode70IfStartFailsUnexpectedly() throws Exception {
-        Child.Start options = new Child.Start();
+        ProxyChildProcess.Start options = new ProxyChildProcess.Start();
         options.program = new String[] {"cacheproxy.server.UncreatableEventLoopMain"};
-        try (Child child = startProxy(options)) {
-            assertEquals(70, child.ends(15));
+        try (ProxyChildProcess child = startProxy(options)) {
+            assertEquals(70, child.awaitExit(15));
             child.assertErrorLine("cannot start: java.lang.IllegalStateException: planted");
         }
     }
@@ -169,32 +170,32 @@
     /** A reload of all proxies must not end one that is still starting. */
     @Test
     void reloadsAfterStartOnSighupDuringStart() throws Exception {
-        try (Child child = startProxy()) {
-            child.loads("cacheproxy.configuration.ProxyConfiguration"); // main is running
+        try (ProxyChildProcess child = startProxy()) {
+            child.awaitClassLoaded("cacheproxy.configuration.ProxyConfiguration"); // main is running
             for (int i = 0; i < 5; i++) {
                 child.signal("HUP");
             }
-            serve(child.greeted(), "a1", null);
-            child.says(0, "configuration taken");
+            serve(child.connectWhenReady(), "a1", null);
+            child.awaitErrorLine(0, "configuration taken");
         }
     }
 
     /** Before the handler is installed, while the first classes are loaded, SIGHUP would end the process. */
     @Test
     void reloadsAfterStartOnSighupDuringClassLoading() throws Exception {
-        try (Child child = startProxy()) {
-            child.loads("cacheproxy.server.ProxyProcess");
+        try (ProxyChildProcess child = startProxy()) {
+            child.awaitClassLoaded("cacheproxy.server.ProxyProcess");
             child.signal("HUP");
-            serve(child.greeted(), "a1", null);
-            child.says(0, "configuration taken");
+            serve(child.connectWhenReady(), "a1", null);
+            child.awaitErrorLine(0, "configuration taken");
         }
     }
 
     private void assertExitsOnSigtermOnceLoaded(String className) throws Exception {
-        try (Child child = startProxy()) {
-            child.loads(className);
+        try (ProxyChildProcess child = startProxy()) {
+            child.awaitClassLoaded(className);
             child.signal("TERM");
-            assertEquals(0, child.ends(6), "SIGTERM once " + className + " is loaded");
+            assertEquals(0, child.awaitExit(6), "SIGTERM once " + className + " is loaded");
         }
     }
 
@@ -213,25 +214,25 @@
     @Test
     void exitsWithCode0OnSigtermWhileWaitingForAddress() throws Exception {
         try (ServerSocket portHolder = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
-            Child.Start options = new Child.Start();
+            ProxyChildProcess.Start options = new ProxyChildProcess.Start();
             options.port = portHolder.getLocalPort();
-            try (Child child = startProxy(options)) {
-                child.loads("java.net.BindException");
+            try (ProxyChildProcess child = startProxy(options)) {
+                child.awaitClassLoaded("java.net.BindException");
                 child.signal("TERM");
-                assertEquals(0, child.ends(6));
+                assertEquals(0, child.awaitExit(6));
             }
         }
     }
 
     @Test
     void exitsWithCode0OnRepeatedSighupAndSigtermDuringStart() throws Exception {
-        try (Child child = startProxy()) {
-            child.loads("cacheproxy.configuration.ProxyConfiguration");
+        try (ProxyChildProcess child = startProxy()) {
+            child.awaitClassLoaded("cacheproxy.configuration.ProxyConfiguration");
             for (int i = 0; i < 3 && child.process.isAlive(); i++) {
                 child.signal("HUP");
                 child.signal("TERM");
             }
-            assertEquals(0, child.ends(6));
+            assertEquals(0, child.awaitExit(6));
         }
     }
 
@@ -240,12 +241,12 @@
     /** The front end learns of the shutdown only later; the requests that it sends meanwhile would be rejected. */
     @Test
     void keepsServingForSomeTimeAfterSigtermAndThenExits() throws Exception {
-        try (Child child = startProxy()) {
-            Peer client = child.greeted();
+        try (ProxyChildProcess child = startProxy()) {
+            Peer client = child.connectWhenReady();
             Peer connection = serve(client, "a", null);
             long sigtermNs = System.nanoTime();
             child.signal("TERM");
-            child.says(0, "shutting down");
+            child.awaitErrorLine(0, "shutting down");
             int requests = 0;
             for (boolean expectServed = true; expectServed; requests++) { // the front end keeps sending
                 boolean served = trySending(child, client, connection, "a" + requests);
@@ -254,16 +255,16 @@
                         served || !expectServed, "rejected within 0.4 s of SIGTERM, after " + requests + " requests");
             }
             client.close();
-            assertEquals(0, child.ends(6));
+            assertEquals(0, child.awaitExit(6));
         }
     }
 
     /** Sends {@code mn} on a new connection and a request on the existing one; returns whether both were served. */
-    private static boolean trySending(Child child, Peer client, Peer connection, String id) {
+    private static boolean trySending(ProxyChildProcess child, Peer client, Peer connection, String id) {
         try (Peer newClient = Peer.to(child.address)) {
             newClient.send("mn\r\n");
-            client.send(Fixture.read(id, 4000));
-            if (!"MN".equals(newClient.line()) || !("O" + id).equals(Arrivals.command(connection))) {
+            client.send(ProxyFixture.readCommand(id, 4000));
+            if (!"MN".equals(newClient.line()) || !("O" + id).equals(CommandArrivals.readCommandId(connection))) {
                 return false;
             }
             connection.send("VA 1 O" + id + "\r\n1\r\n");
@@ -275,7 +276,7 @@
 
     // ---- file descriptors ----
 
-    private static long openDescriptors(Child child) {
+    private static long openDescriptors(ProxyChildProcess child) {
         try (Stream<Path> descriptors = Files.list(Path.of("/proc/" + child.process.pid() + "/fd"))) {
             return descriptors.count();
         } catch (IOException e) {
@@ -287,19 +288,19 @@
     @Test
     void survivesLackOfDescriptorsAndServesAgainAfterwards() throws Exception {
         int maxDescriptors = 96;
-        Child.Start options = new Child.Start();
+        ProxyChildProcess.Start options = new ProxyChildProcess.Start();
         options.shellCommands = "ulimit -n " + maxDescriptors;
-        try (Child child = startProxy(options)) {
-            Peer earlyClient = child.greeted();
+        try (ProxyChildProcess child = startProxy(options)) {
+            Peer earlyClient = child.connectWhenReady();
             List<Peer> flood = new ArrayList<>();
             for (int i = 0; i < 2 * maxDescriptors; i++) {
                 flood.add(Peer.to(child.address));
             }
-            child.until("to run out of descriptors", () -> openDescriptors(child) >= maxDescriptors);
+            child.await("to run out of descriptors", () -> openDescriptors(child) >= maxDescriptors);
             earlyClient.send("mn\r\n");
             earlyClient.expect("MN");
-            earlyClient.send(Fixture.read("a1", 1000));
-            child.until(
+            earlyClient.send(ProxyFixture.readCommand("a1", 1000));
+            child.await(
                     "to respond without a descriptor for a connection to a node",
                     () -> node.count() > 0 || hasInput(earlyClient));
             if (node.count() == 0) {
@@ -309,20 +310,20 @@
             for (Peer idleClient : flood) {
                 idleClient.close();
             }
-            child.until("to have descriptors again", () -> openDescriptors(child) < maxDescriptors - 16);
-            Peer client = child.greeted();
+            child.await("to have descriptors again", () -> openDescriptors(child) < maxDescriptors - 16);
+            Peer client = child.connectWhenReady();
             int connectionsBefore = node.count();
             for (int i = 0; node.count() == connectionsBefore; i++) { // some keys may still be rejected
                 assertTrue(i < 100, "rejected each time");
-                client.send(Fixture.read("b" + i, 4000).replace("7f3a9c21e0b4d655", "b" + i));
-                child.until("to serve again", () -> node.count() > connectionsBefore || hasInput(client));
+                client.send(ProxyFixture.readCommand("b" + i, 4000).replace("7f3a9c21e0b4d655", "b" + i));
+                child.await("to serve again", () -> node.count() > connectionsBefore || hasInput(client));
                 assertTrue(node.count() > connectionsBefore || client.line().startsWith("SERVER_ERROR busy"));
             }
             for (int i = 0; i < connectionsBefore; i++) {
                 node.next();
             }
             Peer connection = node.next();
-            String id = Arrivals.command(connection);
+            String id = CommandArrivals.readCommandId(connection);
             connection.send("VA 1 " + id + "\r\n1\r\n");
             client.expect("VA 1 " + id, "1");
             assertTrue(child.process.isAlive());
@@ -340,19 +341,19 @@
     // ---- reload ----
 
     private String knownList() {
-        return Fixture.list(1, true, Fixture.entry(0, "SERVING", node));
+        return ProxyFixture.endpointList(1, true, ProxyFixture.listEntry(0, "SERVING", node));
     }
 
-    private static int reload(Child child, String json) throws Exception {
-        int firstLine = child.said.size();
+    private static int reload(ProxyChildProcess child, String json) throws Exception {
+        int firstLine = child.errorLines.size();
         Files.writeString(child.config, json);
         child.signal("HUP");
-        child.says(firstLine, "configuration taken");
+        child.awaitErrorLine(firstLine, "configuration taken");
         return firstLine;
     }
 
-    private static List<String> restartLines(Child child, int firstLine) {
-        return child.said.stream()
+    private static List<String> restartLines(ProxyChildProcess child, int firstLine) {
+        return child.errorLines.stream()
                 .skip(firstLine)
                 .filter(line -> line.contains("needs a restart:"))
                 .toList();
@@ -361,10 +362,10 @@
     /** Otherwise operators could not tell whether a reload has worked, or why a change has no effect. */
     @Test
     void logsReloadAndFieldsThatNeedRestart() throws Exception {
-        try (Child child = startProxy();
+        try (ProxyChildProcess child = startProxy();
                 Peer.Listener newDiscovery = new Peer.Listener()) {
-            child.greeted();
-            String original = Fixture.json(knownList(), Fixture.SETTINGS, 1024);
+            child.connectWhenReady();
+            String original = ProxyFixture.json(knownList(), ProxyFixture.SETTINGS, 1024);
             int addressChangedAt = reload(
                     child,
                     original.replace(
@@ -373,12 +374,12 @@
                     child,
                     original.replace("\"maxAttempts\":4", "\"maxAttempts\":3")
                             .replace("\"sockets\":1024", "\"sockets\":512"));
-            child.says(settingsChangedAt, "needs a restart:");
+            child.awaitErrorLine(settingsChangedAt, "needs a restart:");
             assertEquals(
                     0,
                     restartLines(child, addressChangedAt).size()
                             - restartLines(child, settingsChangedAt).size(),
-                    "a new address of discovery needs no restart: " + child.said);
+                    "a new address of discovery needs no restart: " + child.errorLines);
             String logged = String.join("\n", restartLines(child, settingsChangedAt));
             assertTrue(logged.contains("settings.caps.maxAttempts"), logged);
             assertTrue(logged.contains("limits.sockets"), logged);
@@ -389,17 +390,17 @@
     /** If it were logged only at the first reload, the change would look as if it had taken effect. */
     @Test
     void logsFieldThatNeedsRestartAtEachReloadUntilReverted() throws Exception {
-        try (Child child = startProxy()) {
-            child.greeted();
-            String original = Fixture.json(knownList(), Fixture.SETTINGS, 1024);
+        try (ProxyChildProcess child = startProxy()) {
+            child.connectWhenReady();
+            String original = ProxyFixture.json(knownList(), ProxyFixture.SETTINGS, 1024);
             String changed = original.replace("\"maxAttempts\":4", "\"maxAttempts\":3");
             for (int i = 0; i < 2; i++) {
                 int reloadedAt = reload(child, changed);
-                child.says(reloadedAt, "settings.caps.maxAttempts");
+                child.awaitErrorLine(reloadedAt, "settings.caps.maxAttempts");
             }
             int revertedAt = reload(child, original);
             int changedAgainAt = reload(child, changed);
-            child.says(changedAgainAt, "settings.caps.maxAttempts");
+            child.awaitErrorLine(changedAgainAt, "settings.caps.maxAttempts");
             assertEquals(
                     restartLines(child, changedAgainAt),
                     restartLines(child, revertedAt),
@@ -409,12 +410,12 @@
 
     @Test
     void logsRejectedReload() throws Exception {
-        try (Child child = startProxy()) {
-            child.greeted();
+        try (ProxyChildProcess child = startProxy()) {
+            child.connectWhenReady();
             Files.writeString(child.config, "{\"name\":");
             child.signal("HUP");
-            child.says(0, "the new configuration is not taken");
-            serve(child.greeted(), "a1", null);
+            child.awaitErrorLine(0, "the new configuration is not taken");
+            serve(child.connectWhenReady(), "a1", null);
         }
     }
 }
--- a/proxy/src/test/java/cacheproxy/server/Child.java
+++ b/proxy/src/test/java/cacheproxy/server/ProxyChildProcess.java
@@ -26,13 +26,13 @@
 import java.util.zip.ZipOutputStream;
 
 /** The proxy in a process of its own, with its standard error read line by line. */
-final class Child implements Closeable {
+final class ProxyChildProcess implements Closeable {
     private static final long MAX_WAIT_NS = 20_000_000_000L;
 
     final Process process;
     final InetSocketAddress address;
     /** The lines that the process has written to standard error. */
-    final List<String> said = new CopyOnWriteArrayList<>();
+    final List<String> errorLines = new CopyOnWriteArrayList<>();
 
     final Path config;
     private final Path classLoadingLog;
@@ -46,7 +46,7 @@
         /** Shell commands that run first; the program then replaces the shell, so that the process id is the same. */
         String shellCommands = ":";
 
-        String settings = Fixture.SETTINGS;
+        String settings = ProxyFixture.SETTINGS;
         int sockets = 1024;
         /** Whether nobody reads standard error, so that its pipe can fill. */
         boolean errorOutputUnread;
@@ -57,8 +57,8 @@
 
         String[] program = {"cacheproxy.app.Main", "serve"};
 
-        Child with(Peer.Listener discovery, String known) throws IOException {
-            return new Child(this, discovery, known);
+        ProxyChildProcess with(Peer.Listener discovery, String known) throws IOException {
+            return new ProxyChildProcess(this, discovery, known);
         }
     }
 
@@ -92,12 +92,12 @@
         }
     }
 
-    private Child(Start options, Peer.Listener discovery, String known) throws IOException {
+    private ProxyChildProcess(Start options, Peer.Listener discovery, String known) throws IOException {
         int port = options.port != 0 ? options.port : freePort();
         address = new InetSocketAddress(InetAddress.getLoopbackAddress(), port);
         config = Files.createTempFile("config", ".json");
         classLoadingLog = Files.createTempFile("classes", ".log");
-        Files.writeString(config, Fixture.json(known, options.settings, options.sockets));
+        Files.writeString(config, ProxyFixture.json(known, options.settings, options.sockets));
         ProcessBuilder builder = new ProcessBuilder(
                 "sh",
                 "-c",
@@ -110,7 +110,7 @@
                 "-cp",
                 Jar.FILE + File.pathSeparator + System.getProperty("java.class.path"));
         builder.command().addAll(List.of(options.program));
-        builder.environment().putAll(Fixture.env(config, discovery.address()));
+        builder.environment().putAll(ProxyFixture.env(config, discovery.address()));
         builder.environment().put("LB_LISTEN", "127.0.0.1:" + port);
         builder.environment().putAll(options.env);
         builder.redirectOutput(ProcessBuilder.Redirect.DISCARD);
@@ -144,7 +144,7 @@
         try (BufferedReader in =
                 new BufferedReader(new InputStreamReader(process.getErrorStream(), StandardCharsets.UTF_8))) {
             for (String line = in.readLine(); line != null; line = in.readLine()) {
-                said.add(line);
+                errorLines.add(line);
             }
         } catch (IOException e) {
             // closed by the test
@@ -152,21 +152,21 @@
     }
 
     /** Waits for {@code done}; fails if the process has exited, because it would never become true. */
-    void until(String what, BooleanSupplier done) throws InterruptedException {
+    void await(String what, BooleanSupplier done) throws InterruptedException {
         for (long deadlineNs = System.nanoTime() + MAX_WAIT_NS; !done.getAsBoolean(); Thread.sleep(1)) {
             if (!process.isAlive()) {
-                throw new AssertionError(
-                        what + ": the process has exited with " + process.exitValue() + "; standard error: " + said);
+                throw new AssertionError(what + ": the process has exited with " + process.exitValue()
+                        + "; standard error: " + errorLines);
             }
             if (System.nanoTime() > deadlineNs) {
-                throw new AssertionError(what + ": did not happen; standard error: " + said);
+                throw new AssertionError(what + ": did not happen; standard error: " + errorLines);
             }
         }
     }
 
     /** Waits for a line on standard error that contains the text, at index {@code from} or later. */
-    void says(int from, String text) throws InterruptedException {
-        until("to write '" + text + "'", () -> said.stream().skip(from).anyMatch(line -> line.contains(text)));
+    void awaitErrorLine(int from, String text) throws InterruptedException {
+        await("to write '" + text + "'", () -> errorLines.stream().skip(from).anyMatch(line -> line.contains(text)));
     }
 
     /** Fails unless a line contains the text; if the process has exited, its last lines are read first. */
@@ -174,8 +174,8 @@
         if (errorReader != null && !process.isAlive()) {
             errorReader.join();
         }
-        if (said.stream().noneMatch(line -> line.contains(text))) {
-            throw new AssertionError("'" + text + "' was not written; standard error: " + said);
+        if (errorLines.stream().noneMatch(line -> line.contains(text))) {
+            throw new AssertionError("'" + text + "' was not written; standard error: " + errorLines);
         }
     }
 
@@ -183,8 +183,8 @@
      * Waits until the process has loaded a class, which shows how far its start has come and needs no support in the
      * program. The JVM handles signals long before it loads the first class of the proxy.
      */
-    void loads(String name) throws InterruptedException {
-        until("to load " + name, () -> classes().contains(" " + name + " source:"));
+    void awaitClassLoaded(String name) throws InterruptedException {
+        await("to load " + name, () -> classes().contains(" " + name + " source:"));
     }
 
     /** The JVM's log of the loaded classes. */
@@ -203,9 +203,9 @@
     }
 
     /** Connects to the proxy once it listens. */
-    Peer client() throws IOException, InterruptedException {
+    Peer connect() throws IOException, InterruptedException {
         Peer[] client = new Peer[1];
-        until("to listen", () -> {
+        await("to listen", () -> {
             try {
                 client[0] = Peer.to(address);
                 return true;
@@ -220,17 +220,17 @@
     }
 
     /** Connects to the proxy and waits until it is ready. */
-    Peer greeted() throws IOException, InterruptedException {
-        Peer client = client();
+    Peer connectWhenReady() throws IOException, InterruptedException {
+        Peer client = connect();
         client.send("mn\r\n");
         client.expect("MN");
         return client;
     }
 
     /** Waits for the process to exit and returns the exit code; all lines that it wrote have been read then. */
-    int ends(int seconds) throws InterruptedException {
+    int awaitExit(int seconds) throws InterruptedException {
         if (!process.waitFor(seconds, TimeUnit.SECONDS)) {
-            throw new AssertionError("still runs after " + seconds + " s; standard error: " + said);
+            throw new AssertionError("still runs after " + seconds + " s; standard error: " + errorLines);
         }
         if (errorReader != null) {
             errorReader.join(TimeUnit.NANOSECONDS.toMillis(MAX_WAIT_NS));
--- a/proxy/src/test/java/cacheproxy/server/ProxyConfigurationTest.java
+++ b/proxy/src/test/java/cacheproxy/server/ProxyConfigurationTest.java
@@ -24,7 +24,7 @@
 
 /** Reads the configuration; a missing or malformed field ends the start of the proxy with one line. */
 class ProxyConfigurationTest {
-    private static final String KNOWN = Fixture.list(41, true);
+    private static final String KNOWN = ProxyFixture.endpointList(41, true);
 
     @TempDir
     Path directory;
@@ -32,7 +32,7 @@
     private Map<String, String> environment(String json) throws Exception {
         Path file = directory.resolve("config.json");
         Files.writeString(file, json);
-        return new HashMap<>(Fixture.env(file, "127.0.0.1:8500"));
+        return new HashMap<>(ProxyFixture.env(file, "127.0.0.1:8500"));
     }
 
     private String rejectionMessage(Map<String, String> environment) {
@@ -45,7 +45,7 @@
     @Test
     void readsSettingsInFormatOfSimulatorProtocol() throws Exception {
         ProxyConfiguration configuration =
-                ProxyConfiguration.load(environment(Fixture.json(KNOWN, Fixture.SETTINGS, 1024)));
+                ProxyConfiguration.load(environment(ProxyFixture.json(KNOWN, ProxyFixture.SETTINGS, 1024)));
         assertEquals(0x8c1f30d27a5be964L, configuration.seed);
         assertEquals(8500, configuration.discovery.getPort());
         assertEquals(3, configuration.settings.requestClasses.length);
@@ -59,7 +59,7 @@
 
     @Test
     void namesMissingOrMalformedField() throws Exception {
-        String valid = Fixture.json(KNOWN, Fixture.SETTINGS, 1024);
+        String valid = ProxyFixture.json(KNOWN, ProxyFixture.SETTINGS, 1024);
         for (String name : List.of("LB_NAME", "LB_LISTEN", "LB_DISCOVERY", "LB_CONFIG")) {
             Map<String, String> environment = environment(valid);
             environment.remove(name);
@@ -92,7 +92,8 @@
                 "cacheproxy.app.Main",
                 "serve");
         builder.environment()
-                .putAll(environment(Fixture.json("{\"version\":1,\"servers\":[{}]}", Fixture.SETTINGS, 1024)));
+                .putAll(environment(
+                        ProxyFixture.json("{\"version\":1,\"servers\":[{}]}", ProxyFixture.SETTINGS, 1024)));
         Process process = builder.start();
         String errorOutput = new String(process.getErrorStream().readAllBytes(), StandardCharsets.UTF_8);
         assertEquals(2, process.waitFor());
@@ -107,8 +108,9 @@
         try (Peer.Listener discovery = new Peer.Listener()) {
             String malformed = "{\"version\":7,\"servers\":[{}]}";
             ProxyConfiguration invalid = configurationWith(discovery, malformed);
-            assertThrows(InvalidInputException.class, () -> Fixture.start(invalid, loop, router -> router));
-            Fixture.start(configurationWith(discovery, Fixture.list(5, true)), loop, delegate -> delegate);
+            assertThrows(InvalidInputException.class, () -> ProxyFixture.start(invalid, loop, router -> router));
+            ProxyFixture.start(
+                    configurationWith(discovery, ProxyFixture.endpointList(5, true)), loop, delegate -> delegate);
             // both have the same seed and so the same delay of the first call: the first proxy's would come earlier
             assertEquals(
                     "GET /registry/instances?stream=1&index=5 HTTP/1.1",
@@ -119,7 +121,7 @@
     }
 
     private ProxyConfiguration configurationWith(Peer.Listener discovery, String list) throws Exception {
-        Map<String, String> environment = environment(Fixture.json(list, Fixture.SETTINGS, 1024));
+        Map<String, String> environment = environment(ProxyFixture.json(list, ProxyFixture.SETTINGS, 1024));
         environment.put("LB_DISCOVERY", discovery.address());
         return ProxyConfiguration.load(environment);
     }
--- a/proxy/src/test/java/cacheproxy/server/Fixture.java
+++ b/proxy/src/test/java/cacheproxy/server/ProxyFixture.java
@@ -23,7 +23,7 @@
 import java.util.function.UnaryOperator;
 
 /** A proxy on an ephemeral loopback port with scripted cache nodes and a scripted discovery service. */
-final class Fixture implements Closeable {
+final class ProxyFixture implements Closeable {
     static final String SETTINGS = """
         {"index":0,"balancers":1,"az":0,"domainType":"cache","familyInfo":{"mode":"through","originKind":-1},
          "caps":{"dialTimeoutMs":400.0,"idleCloseMs":30000.0,"maxAttempts":4,"maxRetryAfterMs":2000.0,
@@ -50,36 +50,37 @@
     final ProxyConfiguration config;
     final ProxyServer proxy;
 
-    Fixture(int nodeCount) throws IOException {
+    ProxyFixture(int nodeCount) throws IOException {
         this(nodeCount, s -> s, 1024);
     }
 
-    Fixture(int nodeCount, Function<String, String> changeSettings, int sockets) throws IOException {
-        this(nodeCount, changeSettings, sockets, Fixture::allServing);
+    ProxyFixture(int nodeCount, Function<String, String> changeSettings, int sockets) throws IOException {
+        this(nodeCount, changeSettings, sockets, ProxyFixture::listOfAllNodes);
     }
 
     /** @param known returns the endpoint list in the configuration */
-    Fixture(int nodeCount, Function<String, String> changeSettings, int sockets, Function<Fixture, String> known)
+    ProxyFixture(
+            int nodeCount, Function<String, String> changeSettings, int sockets, Function<ProxyFixture, String> known)
             throws IOException {
         this(nodeCount, changeSettings, sockets, known, router -> router);
     }
 
     /** @param wrap wraps the proxy's router */
-    Fixture(
+    ProxyFixture(
             int nodeCount,
             Function<String, String> changeSettings,
             int sockets,
-            Function<Fixture, String> known,
+            Function<ProxyFixture, String> known,
             UnaryOperator<RequestRouter> wrap)
             throws IOException {
         this(nodeCount, changeSettings, sockets, known, wrap, HostEnvironment.real());
     }
 
-    Fixture(
+    ProxyFixture(
             int nodeCount,
             Function<String, String> changeSettings,
             int sockets,
-            Function<Fixture, String> known,
+            Function<ProxyFixture, String> known,
             UnaryOperator<RequestRouter> wrap,
             HostEnvironment host)
             throws IOException {
@@ -87,16 +88,16 @@
     }
 
     /** A proxy that, like one just started, does not answer {@code mn} before discovery has sent its endpoint list. */
-    static Fixture waitingForTheFirstList(int nodeCount) throws IOException {
-        return new Fixture(
-                nodeCount, s -> s, 1024, Fixture::allServing, router -> router, HostEnvironment.real(), true);
+    static ProxyFixture awaitingFirstList(int nodeCount) throws IOException {
+        return new ProxyFixture(
+                nodeCount, s -> s, 1024, ProxyFixture::listOfAllNodes, router -> router, HostEnvironment.real(), true);
     }
 
-    private Fixture(
+    private ProxyFixture(
             int nodeCount,
             Function<String, String> changeSettings,
             int sockets,
-            Function<Fixture, String> known,
+            Function<ProxyFixture, String> known,
             UnaryOperator<RequestRouter> wrap,
             HostEnvironment host,
             boolean awaitsFirstList)
@@ -110,7 +111,7 @@
         config = ProxyConfiguration.load(env(file, discovery.address()));
         proxy = start(config, loop, wrap, host);
         if (!awaitsFirstList) {
-            servesTheKnownList(proxy, loop);
+            makeReadyWithConfiguredList(proxy, loop);
         }
         Files.delete(file);
     }
@@ -119,7 +120,7 @@
      * Makes the proxy ready with the endpoint list of its configuration, as if discovery were unreachable. For tests
      * that are not about the start and whose discovery does not respond.
      */
-    static void servesTheKnownList(ProxyServer proxy, EventLoop loop) {
+    static void makeReadyWithConfiguredList(ProxyServer proxy, EventLoop loop) {
         loop.submit(proxy::discoveryUnreachable).syncUninterruptibly();
     }
 
@@ -135,7 +136,7 @@
     }
 
     /** An environment whose sockets buffer only about {@code bytes} for a node that does not read. */
-    static HostEnvironment holdsLittle(int bytes) {
+    static HostEnvironment withSmallSendBuffer(int bytes) {
         return new HostEnvironment(
                 () -> {
                     NioSocketChannel channel = new NioSocketChannel();
@@ -150,10 +151,10 @@
         return new Log(System::nanoTime, System.err::println);
     }
 
-    String allServing() {
+    String listOfAllNodes() {
         String[] entries = new String[nodes.size()];
-        Arrays.setAll(entries, i -> entry(i, "SERVING"));
-        return list(1, true, entries);
+        Arrays.setAll(entries, i -> listEntry(i, "SERVING"));
+        return endpointList(1, true, entries);
     }
 
     static Map<String, String> env(Path file, String discovery) {
@@ -168,16 +169,16 @@
                 + "},\"known\":" + known + ",\"settings\":" + settings + "}";
     }
 
-    String entry(int node, String state) {
-        return entry(node, state, nodes.get(node));
+    String listEntry(int node, String state) {
+        return listEntry(node, state, nodes.get(node));
     }
 
-    static String entry(int node, String state, Peer.Listener listener) {
+    static String listEntry(int node, String state, Peer.Listener listener) {
         return "{\"id\":\"s-" + node + "\",\"addr\":\"" + listener.address() + "\",\"zone\":\"east\","
                 + "\"kind\":\"full\",\"cell\":1,\"state\":\"" + state + "\",\"weight\":1.0,\"started_ms\":0}";
     }
 
-    static String list(int version, boolean full, String... entries) {
+    static String endpointList(int version, boolean full, String... entries) {
         return "{\"version\":" + version + ",\"full\":" + full + ",\"servers\":[" + String.join(",", entries) + "]}";
     }
 
@@ -201,7 +202,7 @@
         return connection;
     }
 
-    static void chunk(Peer watch, String... lines) throws IOException {
+    static void sendChunks(Peer watch, String... lines) throws IOException {
         StringBuilder allLines = new StringBuilder();
         for (String line : lines) {
             allLines.append(Integer.toHexString(line.length() + 1))
@@ -213,18 +214,18 @@
     }
 
     /** Sends these lists and waits until the proxy has processed the last of them. */
-    static void toldAndEnded(Peer watch, String... lines) throws IOException {
+    static void sendListsAndAwaitClose(Peer watch, String... lines) throws IOException {
         String[] allLines = Arrays.copyOf(lines, lines.length + 1);
         allLines[lines.length] = "{}"; // invalid: ends the watch after the lists before it were processed
-        chunk(watch, allLines);
+        sendChunks(watch, allLines);
         watch.expectEnd();
     }
 
-    static String read(String id, int waitMs) {
+    static String readCommand(String id, int waitMs) {
         return "mg 7f3a9c21e0b4d655 v O" + id + " Pc=lookup,t=acme,d=" + waitMs + "\r\n";
     }
 
-    static String write(String requestClass, String id, int waitMs) {
+    static String writeCommand(String requestClass, String id, int waitMs) {
         return "ms 7f3a9c21e0b4d655 5 O" + id + " Pc=" + requestClass + ",t=acme,d=" + waitMs + ",k=5c0f\r\nhello\r\n";
     }
 
--- a/proxy/src/test/java/cacheproxy/server/ReloadTest.java
+++ b/proxy/src/test/java/cacheproxy/server/ReloadTest.java
@@ -22,10 +22,10 @@
         private final Path configurationFile = Files.createTempFile("config", ".json");
         private final SignalHandler previousHandler = Signal.handle(new Signal("HUP"), signal -> {});
 
-        SighupReload(Fixture fixture) throws IOException {
-            Map<String, String> environment = Fixture.env(configurationFile, fixture.discovery.address());
+        SighupReload(ProxyFixture fixture) throws IOException {
+            Map<String, String> environment = ProxyFixture.env(configurationFile, fixture.discovery.address());
             ConfigurationReloader reloader =
-                    new ConfigurationReloader(environment, Fixture.log(), fixture.config, fixture.proxy::reload);
+                    new ConfigurationReloader(environment, ProxyFixture.log(), fixture.config, fixture.proxy::reload);
             ProcessSignals.install().onHup(reloader::request);
         }
 
@@ -36,7 +36,7 @@
         }
 
         void moveDiscovery(String address) throws IOException {
-            loadConfiguration(Fixture.json(Fixture.list(1, true), Fixture.SETTINGS, 1024)
+            loadConfiguration(ProxyFixture.json(ProxyFixture.endpointList(1, true), ProxyFixture.SETTINGS, 1024)
                     .replace("{\"name\"", "{\"discovery\":\"" + address + "\",\"name\""));
         }
 
@@ -57,8 +57,9 @@
         return watch;
     }
 
-    private static Peer serve(Fixture fixture, Peer client, String id, int node, Peer openConnection) throws Exception {
-        client.send(Fixture.read(id, 4000));
+    private static Peer serve(ProxyFixture fixture, Peer client, String id, int node, Peer openConnection)
+            throws Exception {
+        client.send(ProxyFixture.readCommand(id, 4000));
         Peer connection = openConnection != null
                 ? openConnection
                 : fixture.nodes.get(node).next();
@@ -70,18 +71,20 @@
 
     @Test
     void keepsUsingListUntilNewServiceSendsItsFirst() throws Exception {
-        try (Fixture fixture = new Fixture(1);
+        try (ProxyFixture fixture = new ProxyFixture(1);
                 SighupReload reload = new SighupReload(fixture);
                 Peer.Listener newService = new Peer.Listener()) {
             fixture.nodes.add(new Peer.Listener());
             Peer oldWatch = fixture.watch();
-            Fixture.chunk(oldWatch, Fixture.list(500, true, fixture.entry(0, "SERVING")));
+            ProxyFixture.sendChunks(oldWatch, ProxyFixture.endpointList(500, true, fixture.listEntry(0, "SERVING")));
             reload.moveDiscovery(newService.address());
             Peer newWatch = acceptWatch(newService);
             oldWatch.close(); // the old service stops before the new one has sent a list: the list held stays in use
             Peer client = fixture.client();
             Peer node = serve(fixture, client, "a1", 0, null);
-            Fixture.chunk(newWatch, Fixture.list(3, true, fixture.entry(1, "SERVING"))); // a version of its own
+            ProxyFixture.sendChunks(
+                    newWatch,
+                    ProxyFixture.endpointList(3, true, fixture.listEntry(1, "SERVING"))); // a version of its own
             node.expectEnd();
             serve(fixture, client, "a2", 1, null);
             assertEquals(1, fixture.discovery.count());
@@ -90,7 +93,7 @@
 
     @Test
     void retriesNewServiceAfterFailedCalls() throws Exception {
-        try (Fixture fixture = new Fixture(1);
+        try (ProxyFixture fixture = new ProxyFixture(1);
                 SighupReload reload = new SighupReload(fixture);
                 Peer.Listener newService = new Peer.Listener()) {
             fixture.watch();
@@ -104,13 +107,13 @@
 
     @Test
     void ignoresInvalidConfigurationAndAppliesNextValidOne() throws Exception {
-        try (Fixture fixture = new Fixture(1);
+        try (ProxyFixture fixture = new ProxyFixture(1);
                 SighupReload reload = new SighupReload(fixture);
                 Peer.Listener newService = new Peer.Listener()) {
             Peer oldWatch = fixture.watch();
             reload.loadConfiguration("{\"discovery\":");
             reload.moveDiscovery("nowhere:1");
-            Fixture.chunk(oldWatch, Fixture.list(2, true, fixture.entry(0, "SERVING")));
+            ProxyFixture.sendChunks(oldWatch, ProxyFixture.endpointList(2, true, fixture.listEntry(0, "SERVING")));
             serve(fixture, fixture.client(), "a1", 0, null);
             reload.moveDiscovery(newService.address());
             acceptWatch(newService);
@@ -123,17 +126,18 @@
      */
     @Test
     void requestsFullListAgainIfFirstOfNewServiceIsMalformed() throws Exception {
-        try (Fixture fixture = new Fixture(1);
+        try (ProxyFixture fixture = new ProxyFixture(1);
                 SighupReload reload = new SighupReload(fixture);
                 Peer.Listener newService = new Peer.Listener()) {
             fixture.nodes.add(new Peer.Listener());
             fixture.watch();
             reload.moveDiscovery(newService.address());
-            Fixture.chunk(
+            ProxyFixture.sendChunks(
                     acceptWatch(newService),
-                    Fixture.list(900, true, fixture.entry(0, "ODD")),
-                    Fixture.list(901, false, fixture.entry(1, "SERVING")));
-            Fixture.chunk(acceptWatch(newService), Fixture.list(902, true, fixture.entry(1, "SERVING")));
+                    ProxyFixture.endpointList(900, true, fixture.listEntry(0, "ODD")),
+                    ProxyFixture.endpointList(901, false, fixture.listEntry(1, "SERVING")));
+            ProxyFixture.sendChunks(
+                    acceptWatch(newService), ProxyFixture.endpointList(902, true, fixture.listEntry(1, "SERVING")));
             serve(fixture, fixture.client(), "a1", 1, null);
         }
     }
--- a/proxy/src/test/java/cacheproxy/server/HeldRequest.java
+++ b/proxy/src/test/java/cacheproxy/server/RequestBlockingRouter.java
@@ -6,16 +6,18 @@
 import java.util.concurrent.CountDownLatch;
 
 /** Blocks the event loop in the middle of reading, when it passes a request of {@link #SIZE} to the router. */
-final class HeldRequest {
+final class RequestBlockingRouter {
     /** Field for the {@code P} token that marks the request. */
-    static final String SIZE = "size=7,";
+    static final String BLOCKED_REQUEST_FIELD = "size=7,";
 
     private final CountDownLatch blocked = new CountDownLatch(1);
     private final CountDownLatch released = new CountDownLatch(1);
 
     RequestRouter wrap(RequestRouter inner) {
         return (RequestRouter) java.lang.reflect.Proxy.newProxyInstance(
-                HeldRequest.class.getClassLoader(), new Class<?>[] {RequestRouter.class}, (proxy, method, args) -> {
+                RequestBlockingRouter.class.getClassLoader(),
+                new Class<?>[] {RequestRouter.class},
+                (proxy, method, args) -> {
                     if (method.getName().equals("onRequest") && ((RoutingRequest) args[1]).sizeBytes == 7) {
                         blocked.countDown();
                         released.await();
@@ -32,7 +34,7 @@
         blocked.await();
     }
 
-    void goOn() {
+    void release() {
         released.countDown();
     }
 }
--- a/proxy/src/test/java/cacheproxy/server/RestartedProxyTest.java
+++ b/proxy/src/test/java/cacheproxy/server/RestartedProxyTest.java
@@ -17,7 +17,7 @@
 @Timeout(90)
 class RestartedProxyTest {
     /** Settings of one of a hundred proxies: the more there are, the longer the router may delay the first call. */
-    private static final String SETTINGS_OF_ONE_OF_MANY = Fixture.SETTINGS
+    private static final String SETTINGS_OF_ONE_OF_MANY = ProxyFixture.SETTINGS
             .replace("\"balancers\":1,", "\"balancers\":100,")
             .replace("\"askWithinMs\":100.0", "\"askWithinMs\":10000.0");
 
@@ -25,13 +25,13 @@
 
     private ServingNode stayingNode;
     private ServingNode removedNode;
-    private AnsweringDiscovery discovery;
+    private DiscoveryStandIn discovery;
 
     @BeforeEach
     void openNodes() throws IOException {
         stayingNode = new ServingNode();
         removedNode = new ServingNode();
-        discovery = new AnsweringDiscovery(list(1, "SERVING"));
+        discovery = new DiscoveryStandIn(list(1, "SERVING"));
     }
 
     @AfterEach
@@ -42,43 +42,44 @@
     }
 
     private String list(int version, String stateOfRemoved) {
-        return Fixture.list(
+        return ProxyFixture.endpointList(
                 version,
                 true,
-                Fixture.entry(0, "SERVING", stayingNode.listener),
-                Fixture.entry(1, stateOfRemoved, removedNode.listener));
+                ProxyFixture.listEntry(0, "SERVING", stayingNode.listener),
+                ProxyFixture.listEntry(1, stateOfRemoved, removedNode.listener));
     }
 
-    private Child startProxy() throws IOException {
-        Child.Start start = new Child.Start();
+    private ProxyChildProcess startProxy() throws IOException {
+        ProxyChildProcess.Start start = new ProxyChildProcess.Start();
         start.settings = SETTINGS_OF_ONE_OF_MANY;
         return start.with(discovery.listener, list(1, "SERVING"));
     }
 
     /** Reads many keys, one after the other. */
-    private static void readKeys(Child proxy) throws IOException, InterruptedException {
-        Peer client = proxy.greeted();
+    private static void readKeys(ProxyChildProcess proxy) throws IOException, InterruptedException {
+        Peer client = proxy.connectWhenReady();
         for (int i = 0; i < KEYS_READ; i++) {
             String id = "a" + i;
-            client.send(Fixture.read(id, 4000).replace("7f3a9c21e0b4d655", String.format("%016x", 1000L * i)));
+            client.send(
+                    ProxyFixture.readCommand(id, 4000).replace("7f3a9c21e0b4d655", String.format("%016x", 1000L * i)));
             client.expect("VA 1 O" + id, "1");
         }
     }
 
     private void assertNoReadsAfterRestart(String newState, int rejectedCalls)
             throws IOException, InterruptedException {
-        try (Child firstProcess = startProxy()) {
+        try (ProxyChildProcess firstProcess = startProxy()) {
             readKeys(firstProcess);
             assertTrue(
                     stayingNode.served() > 0 && removedNode.served() > 0,
                     "both nodes receive reads while both are ready");
             firstProcess.signal("KILL");
-            assertEquals(137, firstProcess.ends(10));
+            assertEquals(137, firstProcess.awaitExit(10));
         }
-        discovery.holds(list(2, newState));
+        discovery.setList(list(2, newState));
         discovery.rejectNextCalls(rejectedCalls);
         int readsBefore = removedNode.served();
-        try (Child secondProcess = startProxy()) {
+        try (ProxyChildProcess secondProcess = startProxy()) {
             readKeys(secondProcess);
             assertEquals(readsBefore, removedNode.served(), "reads sent to a node that is " + newState);
         }
