--- a/proxy/src/test/java/cacheproxy/server/RetryCrossingTest.java
+++ b/proxy/src/test/java/cacheproxy/server/RetryCrossingTest.java
@@ -23,8 +23,9 @@
                 .replace("\"secondCopies\":false", "\"secondCopies\":true");
     }
 
-    private static void awaitRequests(Fixture fixture, long requests) throws Exception {
-        while (fixture.loop.submit(() -> fixture.proxy.reserved().get("requests") != requests)
+    private static void awaitRequests(ProxyFixture fixture, long requests) throws Exception {
+        while (fixture.loop
+                .submit(() -> fixture.proxy.reserved().get("requests") != requests)
                 .get()) {
             Thread.onSpinWait();
         }
@@ -37,24 +38,26 @@
     @Test
     void readsReceivedResponseBeforeTimeout() throws Exception {
         for (String requestClass : new String[] {"lookup", "charge", "submit"}) {
-            HeldRequest heldRequest = new HeldRequest();
-            try (Fixture fixture = new Fixture(1, s -> s, 1024, Fixture::allServing, heldRequest::wrap)) {
+            RequestBlockingRouter heldRequest = new RequestBlockingRouter();
+            try (ProxyFixture fixture =
+                    new ProxyFixture(1, s -> s, 1024, ProxyFixture::listOfAllNodes, heldRequest::wrap)) {
                 Peer client = fixture.client();
                 Peer other = fixture.client();
                 client.send(
                         requestClass.equals("lookup")
-                                ? Fixture.read("a1", 400)
-                                : Fixture.write(requestClass, "a1", 400));
+                                ? ProxyFixture.readCommand("a1", 400)
+                                : ProxyFixture.writeCommand(requestClass, "a1", 400));
                 Peer node = fixture.nodes.get(0).next();
-                assertEquals("Oa1", Arrivals.command(node));
-                other.send(Fixture.read("b1", 4000).replace("d=", HeldRequest.SIZE + "d="));
+                assertEquals("Oa1", CommandArrivals.readCommandId(node));
+                other.send(ProxyFixture.readCommand("b1", 4000)
+                        .replace("d=", RequestBlockingRouter.BLOCKED_REQUEST_FIELD + "d="));
                 heldRequest.await();
                 long sentNanos = System.nanoTime();
                 node.send(requestClass.equals("lookup") ? "VA 1 Oa1\r\n1\r\n" : "HD Oa1 c7\r\n");
                 while (System.nanoTime() - sentNanos < 450_000_000L) {
                     Thread.onSpinWait(); // until the timeout has passed
                 }
-                heldRequest.goOn();
+                heldRequest.release();
                 client.expect(requestClass.equals("lookup") ? "VA 1 Oa1" : "HD Oa1 c7");
             }
         }
@@ -64,27 +67,29 @@
     @Test
     void readsRestOfResponseBeforeStallTimeout() throws Exception {
         for (String requestClass : new String[] {"lookup", "charge", "submit"}) {
-            HeldRequest heldRequest = new HeldRequest();
-            try (Fixture fixture = new Fixture(1, s -> s, 1024, Fixture::allServing, heldRequest::wrap)) {
+            RequestBlockingRouter heldRequest = new RequestBlockingRouter();
+            try (ProxyFixture fixture =
+                    new ProxyFixture(1, s -> s, 1024, ProxyFixture::listOfAllNodes, heldRequest::wrap)) {
                 Peer client = fixture.client();
                 Peer other = fixture.client();
                 client.send(
                         requestClass.equals("lookup")
-                                ? Fixture.read("a1", 4000)
-                                : Fixture.write(requestClass, "a1", 4000));
+                                ? ProxyFixture.readCommand("a1", 4000)
+                                : ProxyFixture.writeCommand(requestClass, "a1", 4000));
                 Peer node = fixture.nodes.get(0).next();
-                assertEquals("Oa1", Arrivals.command(node));
+                assertEquals("Oa1", CommandArrivals.readCommandId(node));
                 node.send(requestClass.equals("lookup") ? "VA 1 Oa1" : "HD Oa1");
                 other.send("mn\r\n");
                 other.expect("MN"); // the first part was read
-                other.send(Fixture.read("b1", 4000).replace("d=", HeldRequest.SIZE + "d="));
+                other.send(ProxyFixture.readCommand("b1", 4000)
+                        .replace("d=", RequestBlockingRouter.BLOCKED_REQUEST_FIELD + "d="));
                 heldRequest.await();
                 long stalledNanos = System.nanoTime();
                 node.send(requestClass.equals("lookup") ? "\r\n1\r\n" : " c7\r\n");
                 while (System.nanoTime() - stalledNanos < 350_000_000L) {
                     Thread.onSpinWait(); // until the timeout has passed
                 }
-                heldRequest.goOn();
+                heldRequest.release();
                 client.expect(requestClass.equals("lookup") ? "VA 1 Oa1" : "HD Oa1 c7");
             }
         }
@@ -98,28 +103,29 @@
     void nonIdempotentRequestDoesNotShareConnectionWithUnreadClose() throws Exception {
         for (String requestClass : new String[] {"charge", "submit"}) {
             for (boolean reset : new boolean[] {false, true}) {
-                HeldRequest heldRequest = new HeldRequest();
-                try (Fixture fixture = new Fixture(
+                RequestBlockingRouter heldRequest = new RequestBlockingRouter();
+                try (ProxyFixture fixture = new ProxyFixture(
                         1,
                         RetryCrossingTest::withSharedConnections,
                         1024,
-                        Fixture::allServing,
+                        ProxyFixture::listOfAllNodes,
                         heldRequest::wrap)) {
                     Peer client = fixture.client();
                     Peer other = fixture.client();
-                    other.send(Fixture.read("b1", LONG_DEADLINE_MS));
+                    other.send(ProxyFixture.readCommand("b1", LONG_DEADLINE_MS));
                     Peer node = fixture.nodes.get(0).next();
-                    assertEquals("Ob1", Arrivals.command(node));
-                    client.send(Fixture.write(requestClass, "c1", 4000).replace("d=", HeldRequest.SIZE + "d="));
+                    assertEquals("Ob1", CommandArrivals.readCommandId(node));
+                    client.send(ProxyFixture.writeCommand(requestClass, "c1", 4000)
+                            .replace("d=", RequestBlockingRouter.BLOCKED_REQUEST_FIELD + "d="));
                     heldRequest.await();
                     if (reset) {
                         node.reset();
                     } else {
                         node.close();
                     }
-                    heldRequest.goOn();
+                    heldRequest.release();
                     Peer freshPeer = fixture.nodes.get(0).next();
-                    assertEquals("Oc1", Arrivals.command(freshPeer));
+                    assertEquals("Oc1", CommandArrivals.readCommandId(freshPeer));
                     freshPeer.send("HD Oc1 c7\r\n");
                     client.expect("HD Oc1 c7");
                 }
@@ -134,20 +140,25 @@
     @Test
     void nonIdempotentRequestDoesNotShareConnectionWithUnreadErrorLine() throws Exception {
         for (String requestClass : new String[] {"charge", "submit"}) {
-            HeldRequest heldRequest = new HeldRequest();
-            try (Fixture fixture = new Fixture(
-                    1, RetryCrossingTest::withSharedConnections, 1024, Fixture::allServing, heldRequest::wrap)) {
+            RequestBlockingRouter heldRequest = new RequestBlockingRouter();
+            try (ProxyFixture fixture = new ProxyFixture(
+                    1,
+                    RetryCrossingTest::withSharedConnections,
+                    1024,
+                    ProxyFixture::listOfAllNodes,
+                    heldRequest::wrap)) {
                 Peer client = fixture.client();
                 Peer other = fixture.client();
-                other.send(Fixture.read("b1", LONG_DEADLINE_MS));
+                other.send(ProxyFixture.readCommand("b1", LONG_DEADLINE_MS));
                 Peer node = fixture.nodes.get(0).next();
-                assertEquals("Ob1", Arrivals.command(node));
-                client.send(Fixture.write(requestClass, "c1", 4000).replace("d=", HeldRequest.SIZE + "d="));
+                assertEquals("Ob1", CommandArrivals.readCommandId(node));
+                client.send(ProxyFixture.writeCommand(requestClass, "c1", 4000)
+                        .replace("d=", RequestBlockingRouter.BLOCKED_REQUEST_FIELD + "d="));
                 heldRequest.await();
                 node.send("SERVER_ERROR failed\r\n");
-                heldRequest.goOn();
+                heldRequest.release();
                 Peer freshPeer = fixture.nodes.get(0).next();
-                assertEquals("Oc1", Arrivals.command(freshPeer));
+                assertEquals("Oc1", CommandArrivals.readCommandId(freshPeer));
                 freshPeer.send("HD Oc1 c7\r\n");
                 client.expect("HD Oc1 c7");
             }
@@ -160,15 +171,15 @@
      */
     @Test
     void doesNotWriteRetryAfterDeduplicationWindow() throws Exception {
-        try (Fixture fixture = new Fixture(
+        try (ProxyFixture fixture = new ProxyFixture(
                 2,
                 s -> withSharedConnections(s).replace("\"repeatWindowMs\":5000.0", "\"repeatWindowMs\":1500.0"),
                 1024,
-                self -> Fixture.list(1, true, self.entry(1, "SERVING")))) {
+                self -> ProxyFixture.endpointList(1, true, self.listEntry(1, "SERVING")))) {
             Peer blocking = fixture.client();
-            blocking.send(Fixture.read("b1", LONG_DEADLINE_MS));
+            blocking.send(ProxyFixture.readCommand("b1", LONG_DEADLINE_MS));
             Peer notReading = fixture.nodes.get(1).next();
-            assertEquals("Ob1", Arrivals.command(notReading));
+            assertEquals("Ob1", CommandArrivals.readCommandId(notReading));
             String value = "v".repeat(64 << 10);
             for (int i = 0; i < 90; i++) { // 5.9 MB: more than the kernel buffers for a peer that does not read
                 fixture.client()
@@ -176,18 +187,19 @@
                                 + LONG_DEADLINE_MS + ",k=5c0f\r\n" + value + "\r\n");
                 awaitRequests(fixture, i + 2);
             }
-            Fixture.toldAndEnded(fixture.watch(), Fixture.list(2, false, fixture.entry(0, "SERVING")));
+            ProxyFixture.sendListsAndAwaitClose(
+                    fixture.watch(), ProxyFixture.endpointList(2, false, fixture.listEntry(0, "SERVING")));
             Peer client = fixture.client();
-            client.send(Fixture.write("submit", "k1", LONG_DEADLINE_MS));
+            client.send(ProxyFixture.writeCommand("submit", "k1", LONG_DEADLINE_MS));
             Peer firstPeer = fixture.nodes.get(0).next(); // the less loaded node
-            assertEquals("Ok1", Arrivals.command(firstPeer));
+            assertEquals("Ok1", CommandArrivals.readCommandId(firstPeer));
             firstPeer.send("SERVER_ERROR failed\r\n");
             Peer windowProbe = fixture.client();
-            windowProbe.send(Fixture.read("a1", 2500));
-            assertEquals("Oa1", Arrivals.command(firstPeer));
+            windowProbe.send(ProxyFixture.readCommand("a1", 2500));
+            assertEquals("Oa1", CommandArrivals.readCommandId(firstPeer));
             assertTrue(windowProbe.line().startsWith("SERVER_ERROR busy")); // the deduplication window has passed
             for (int i = 0; i < 90; i++) {
-                assertEquals("Oc" + i, Arrivals.command(notReading));
+                assertEquals("Oc" + i, CommandArrivals.readCommandId(notReading));
             }
             client.expect("SERVER_ERROR failed");
             for (Peer peer : fixture.clients) {
@@ -222,19 +234,21 @@
     @Test
     void doesNotCompleteRetryAfterDeduplicationWindow() throws Exception {
         try (Peer.Listener hungNode = new Peer.Listener(SOCKET_BUFFER_BYTES);
-                Fixture fixture = new Fixture(
+                ProxyFixture fixture = new ProxyFixture(
                         1,
                         s -> withLongDeadlines(s).replace("\"repeatWindowMs\":5000.0", "\"repeatWindowMs\":1500.0"),
                         1024,
-                        Fixture::allServing,
+                        ProxyFixture::listOfAllNodes,
                         module -> module,
-                        Fixture.holdsLittle(SOCKET_BUFFER_BYTES))) {
+                        ProxyFixture.withSmallSendBuffer(SOCKET_BUFFER_BYTES))) {
             Peer client = fixture.client();
             client.send(largeWrite("submit", "k1"));
             Peer firstPeer = fixture.nodes.get(0).next();
-            assertEquals("Ok1", Arrivals.command(firstPeer));
+            assertEquals("Ok1", CommandArrivals.readCommandId(firstPeer));
             long startedNanos = System.nanoTime();
-            Fixture.toldAndEnded(fixture.watch(), Fixture.list(2, false, Fixture.entry(1, "SERVING", hungNode)));
+            ProxyFixture.sendListsAndAwaitClose(
+                    fixture.watch(),
+                    ProxyFixture.endpointList(2, false, ProxyFixture.listEntry(1, "SERVING", hungNode)));
             firstPeer.send("SERVER_ERROR failed\r\n");
             Peer hungPeer = hungNode.next();
             expectCommandLine(hungPeer, "k1");
@@ -250,18 +264,20 @@
     @Test
     void completesRetryWithinDeduplicationWindow() throws Exception {
         try (Peer.Listener slowNode = new Peer.Listener(SOCKET_BUFFER_BYTES);
-                Fixture fixture = new Fixture(
+                ProxyFixture fixture = new ProxyFixture(
                         1,
                         RetryCrossingTest::withLongDeadlines,
                         1024,
-                        Fixture::allServing,
+                        ProxyFixture::listOfAllNodes,
                         module -> module,
-                        Fixture.holdsLittle(SOCKET_BUFFER_BYTES))) {
+                        ProxyFixture.withSmallSendBuffer(SOCKET_BUFFER_BYTES))) {
             Peer client = fixture.client();
             client.send(largeWrite("submit", "k1"));
             Peer firstPeer = fixture.nodes.get(0).next();
-            assertEquals("Ok1", Arrivals.command(firstPeer));
-            Fixture.toldAndEnded(fixture.watch(), Fixture.list(2, false, Fixture.entry(1, "SERVING", slowNode)));
+            assertEquals("Ok1", CommandArrivals.readCommandId(firstPeer));
+            ProxyFixture.sendListsAndAwaitClose(
+                    fixture.watch(),
+                    ProxyFixture.endpointList(2, false, ProxyFixture.listEntry(1, "SERVING", slowNode)));
             firstPeer.send("SERVER_ERROR failed\r\n");
             Peer retryPeer = slowNode.next();
             expectCommandLine(retryPeer, "k1");
--- a/proxy/src/test/java/cacheproxy/server/RetryEffectsTest.java
+++ b/proxy/src/test/java/cacheproxy/server/RetryEffectsTest.java
@@ -35,20 +35,20 @@
     private static final class TwoNodes implements AutoCloseable {
         final Peer.Listener firstNode = new Peer.Listener(SOCKET_BUFFER_BYTES);
         final Peer.Listener secondNode = new Peer.Listener(SOCKET_BUFFER_BYTES);
-        final Fixture fixture;
+        final ProxyFixture fixture;
 
         TwoNodes(UnaryOperator<String> settings) throws Exception {
-            fixture = new Fixture(
+            fixture = new ProxyFixture(
                     0,
                     settings::apply,
                     1024,
-                    self -> Fixture.list(
+                    self -> ProxyFixture.endpointList(
                             1,
                             true,
-                            Fixture.entry(1, "SERVING", firstNode),
-                            Fixture.entry(2, "SERVING", secondNode)),
+                            ProxyFixture.listEntry(1, "SERVING", firstNode),
+                            ProxyFixture.listEntry(2, "SERVING", secondNode)),
                     router -> router,
-                    Fixture.holdsLittle(SOCKET_BUFFER_BYTES));
+                    ProxyFixture.withSmallSendBuffer(SOCKET_BUFFER_BYTES));
         }
 
         /** Waits for the next connection to either node. */
@@ -87,14 +87,14 @@
             client.send(request(requestClass));
             Peer node = nodes.next();
             if (completelyWritten) {
-                assertEquals("Oc1", Arrivals.command(node), description);
+                assertEquals("Oc1", CommandArrivals.readCommandId(node), description);
             } else {
                 assertTrue(node.line().contains(" Oc1 "), description);
             }
             node.reset();
             if (retried) {
                 Peer retryPeer = nodes.next();
-                assertEquals("Oc1", Arrivals.command(retryPeer), description);
+                assertEquals("Oc1", CommandArrivals.readCommandId(retryPeer), description);
                 retryPeer.send("HD Oc1 c7\r\n");
                 assertEquals("HD Oc1 c7", client.line(), description);
             } else {
--- a/proxy/src/test/java/cacheproxy/server/RouterErrorTest.java
+++ b/proxy/src/test/java/cacheproxy/server/RouterErrorTest.java
@@ -62,9 +62,12 @@
             Path file = Files.createTempFile("config", ".json");
             Files.writeString(
                     file,
-                    Fixture.json(Fixture.list(1, true, Fixture.entry(0, "SERVING", node)), Fixture.SETTINGS, 1024));
+                    ProxyFixture.json(
+                            ProxyFixture.endpointList(1, true, ProxyFixture.listEntry(0, "SERVING", node)),
+                            ProxyFixture.SETTINGS,
+                            1024));
             proxy = cacheproxy.server.ProxyServer.create(
-                    ProxyConfiguration.load(Fixture.env(file, discovery.address())),
+                    ProxyConfiguration.load(ProxyFixture.env(file, discovery.address())),
                     loop,
                     HostEnvironment.real(),
                     new Log(System::nanoTime, l -> {
@@ -73,7 +76,7 @@
                     }),
                     router -> intercept(router, hook));
             proxy.open();
-            Fixture.servesTheKnownList(proxy, loop);
+            ProxyFixture.makeReadyWithConfiguredList(proxy, loop);
             Files.delete(file);
         }
 
@@ -112,9 +115,9 @@
     /** Sends a read and responds on the given connection to the node, or on the next one if it is null. */
     private static Peer sendAndServe(HookedProxy hookedProxy, Peer client, String id, Peer openConnection)
             throws Exception {
-        client.send(Fixture.read(id, 4000));
+        client.send(ProxyFixture.readCommand(id, 4000));
         Peer node = openConnection != null ? openConnection : hookedProxy.node.next();
-        assertEquals("O" + id, Arrivals.command(node));
+        assertEquals("O" + id, CommandArrivals.readCommandId(node));
         node.send("VA 1 O" + id + "\r\n1\r\n");
         client.expect("VA 1 O" + id, "1");
         return node;
@@ -151,7 +154,7 @@
         for (Supplier<Throwable> fault : FAULTS) {
             try (HookedProxy hookedProxy = new HookedProxy(new ThrowOnce("onRequest", true, fault.get()));
                     Peer client = hookedProxy.client()) {
-                client.send(Fixture.read("a1", 300));
+                client.send(ProxyFixture.readCommand("a1", 300));
                 client.expect("SERVER_ERROR failed"); // the router did not receive the request
                 Peer node = sendAndServe(hookedProxy, client, "a2", null);
                 sendAndServe(hookedProxy, client, "a3", node);
@@ -201,12 +204,15 @@
             try (HookedProxy hookedProxy = new HookedProxy(hook);
                     Peer.Listener other = new Peer.Listener();
                     Peer client = hookedProxy.client()) {
-                Peer watch = Fixture.watch(hookedProxy.discovery);
+                Peer watch = ProxyFixture.watch(hookedProxy.discovery);
                 armed[0] = true;
-                Fixture.chunk(watch, Fixture.list(2, true, Fixture.entry(0, "SERVING", hookedProxy.node)));
-                Fixture.toldAndEnded(watch, Fixture.list(3, true, Fixture.entry(1, "SERVING", other)));
-                client.send(Fixture.read("a1", 4000));
-                assertEquals("Oa1", Arrivals.command(other.next()));
+                ProxyFixture.sendChunks(
+                        watch,
+                        ProxyFixture.endpointList(2, true, ProxyFixture.listEntry(0, "SERVING", hookedProxy.node)));
+                ProxyFixture.sendListsAndAwaitClose(
+                        watch, ProxyFixture.endpointList(3, true, ProxyFixture.listEntry(1, "SERVING", other)));
+                client.send(ProxyFixture.readCommand("a1", 4000));
+                assertEquals("Oa1", CommandArrivals.readCommandId(other.next()));
             }
         }
     }
@@ -229,9 +235,9 @@
         };
         try (HookedProxy hookedProxy = new HookedProxy(hook);
                 Peer client = hookedProxy.client()) {
-            client.send(Fixture.read("a1", 4000) + Fixture.write("charge", "c1", 4000));
+            client.send(ProxyFixture.readCommand("a1", 4000) + ProxyFixture.writeCommand("charge", "c1", 4000));
             Peer read = hookedProxy.node.next();
-            assertEquals("Oa1", Arrivals.command(read));
+            assertEquals("Oa1", CommandArrivals.readCommandId(read));
             Peer write = hookedProxy.node.next();
             read.send("VA 1 Oa1\r\n1\r\n");
             client.expect("VA 1 Oa1", "1", "SERVER_ERROR busy 7");
@@ -264,7 +270,7 @@
     void servesAndLogsAfterErrorThatCannotBeDescribed() throws Exception {
         try (HookedProxy hookedProxy = new HookedProxy(new ThrowOnce("onRequest", true, errorWithoutDescription()));
                 Peer client = hookedProxy.client()) {
-            client.send(Fixture.read("a1", 300));
+            client.send(ProxyFixture.readCommand("a1", 300));
             client.expect("SERVER_ERROR failed");
             Peer node = sendAndServe(hookedProxy, client, "a2", null);
             sendAndServe(hookedProxy, client, "a3", node);
@@ -279,7 +285,7 @@
         try (HookedProxy hookedProxy = new HookedProxy(
                         new ThrowOnce("onRequest", true, errorWithoutDescription()), RouterErrorTest::failToLogFault);
                 Peer client = hookedProxy.client()) {
-            client.send(Fixture.read("a1", 300));
+            client.send(ProxyFixture.readCommand("a1", 300));
             client.expect("SERVER_ERROR failed");
             Peer node = sendAndServe(hookedProxy, client, "a2", null);
             sendAndServe(hookedProxy, client, "a3", node);
@@ -313,16 +319,16 @@
                 connection.send("mn\r\n");
                 connection.expect("MN"); // accepted, so that its next request is read first after the stall
             }
-            first.send(Fixture.read("a1", 4000));
+            first.send(ProxyFixture.readCommand("a1", 4000));
             loopBlocked.await();
-            second.send(Fixture.read("a2", 900));
+            second.send(ProxyFixture.readCommand("a2", 900));
             long start = System.nanoTime();
             while (System.nanoTime() - start < TimeUnit.MILLISECONDS.toNanos(600)) {
                 Thread.onSpinWait(); // longer than a quarter of the drain grace period
             }
             release.countDown();
             Peer node = hookedProxy.node.next();
-            assertEquals("Oa1", Arrivals.command(node));
+            assertEquals("Oa1", CommandArrivals.readCommandId(node));
             node.send("VA 1 Oa1\r\n1\r\n");
             first.expect("VA 1 Oa1", "1");
             second.expect("SERVER_ERROR failed");
--- a/proxy/src/test/java/cacheproxy/server/ServingTest.java
+++ b/proxy/src/test/java/cacheproxy/server/ServingTest.java
@@ -31,7 +31,7 @@
 
     @Test
     void forwardsReadUnchangedAndReturnsValueWithoutLoadReport() throws Exception {
-        try (Fixture fixture = new Fixture(1)) {
+        try (ProxyFixture fixture = new ProxyFixture(1)) {
             Peer client = fixture.client();
             client.send("mg 7f3a9c21e0b4d655 v Oa1 Pc=lookup,t=acme,d=4000,r=1,size=12\r\n");
             Peer node = fixture.nodes.get(0).next();
@@ -43,9 +43,9 @@
 
     @Test
     void forwardsWriteWithValueAndIdempotencyKeyAndReturnsResponse() throws Exception {
-        try (Fixture fixture = new Fixture(1)) {
+        try (ProxyFixture fixture = new ProxyFixture(1)) {
             Peer client = fixture.client();
-            client.send(Fixture.write("submit", "b2", 4000));
+            client.send(ProxyFixture.writeCommand("submit", "b2", 4000));
             Peer node = fixture.nodes.get(0).next();
             assertEquals("ms 7f3a9c21e0b4d655 5 Ob2 Pc=submit,t=acme,d=,k=5c0f", command(node, 4000));
             node.expect("hello");
@@ -56,9 +56,9 @@
 
     @Test
     void sendsResponsesInOrderOfCommands() throws Exception {
-        try (Fixture fixture = new Fixture(1)) {
+        try (ProxyFixture fixture = new ProxyFixture(1)) {
             Peer client = fixture.client();
-            client.send(Fixture.read("a1", 4000) + Fixture.read("a2", 4000) + "mn\r\nmg x\r\n");
+            client.send(ProxyFixture.readCommand("a1", 4000) + ProxyFixture.readCommand("a2", 4000) + "mn\r\nmg x\r\n");
             Peer first = fixture.nodes.get(0).next();
             Peer second = fixture.nodes.get(0).next();
             boolean swapped = command(first, 4000).contains("Oa2");
@@ -71,14 +71,14 @@
 
     @Test
     void reusesEndpointConnection() throws Exception {
-        try (Fixture fixture = new Fixture(1)) {
+        try (ProxyFixture fixture = new ProxyFixture(1)) {
             Peer client = fixture.client();
-            client.send(Fixture.read("a1", 4000));
+            client.send(ProxyFixture.readCommand("a1", 4000));
             Peer node = fixture.nodes.get(0).next();
             command(node, 4000);
             node.send("VA 1 Oa1\r\n1\r\n");
             client.expect("VA 1 Oa1", "1");
-            client.send(Fixture.read("a2", 4000));
+            client.send(ProxyFixture.readCommand("a2", 4000));
             command(node, 4000);
             node.send("VA 1 Oa2\r\n2\r\n");
             client.expect("VA 1 Oa2", "2");
@@ -88,7 +88,7 @@
 
     @Test
     void answersInvalidCommandsWithErrorAndClosesOnlyAfterLostFraming() throws Exception {
-        try (Fixture fixture = new Fixture(1)) {
+        try (ProxyFixture fixture = new ProxyFixture(1)) {
             Peer client = fixture.client();
             client.send("get x\r\nmg k v Oa Pc=nobody,t=acme,d=9\r\nms k 3 Ob Pc=charge,t=acme,d=x\r\nabc\r\nmn\r\n");
             client.expect(
@@ -116,9 +116,9 @@
 
     @Test
     void failsUnsafeRequestWithoutRetryWhenConnectionBreaksAfterWrite() throws Exception {
-        try (Fixture fixture = new Fixture(2)) {
+        try (ProxyFixture fixture = new ProxyFixture(2)) {
             Peer client = fixture.client();
-            client.send(Fixture.write("charge", "c1", 4000));
+            client.send(ProxyFixture.writeCommand("charge", "c1", 4000));
             Peer node = nextConnection(fixture, 0);
             command(node, 4000);
             node.expect("hello");
@@ -129,7 +129,7 @@
     }
 
     /** The next connection to either of two nodes, which together have accepted {@code connectionsBefore} so far. */
-    private static Peer nextConnection(Fixture fixture, int connectionsBefore) throws Exception {
+    private static Peer nextConnection(ProxyFixture fixture, int connectionsBefore) throws Exception {
         long end = System.nanoTime() + 10_000_000_000L;
         while (fixture.nodes.get(0).count() + fixture.nodes.get(1).count() <= connectionsBefore) {
             assertTrue(System.nanoTime() < end, "no connection came");
@@ -146,10 +146,10 @@
 
     @Test
     void rejectsUnsafeRequestWithRetryAfterWhenNoNodeAcceptsConnections() throws Exception {
-        try (Fixture fixture = new Fixture(1)) {
+        try (ProxyFixture fixture = new ProxyFixture(1)) {
             fixture.nodes.get(0).close();
             Peer client = fixture.client();
-            client.send(Fixture.write("charge", "c1", 4000));
+            client.send(ProxyFixture.writeCommand("charge", "c1", 4000));
             String line = client.line();
             assertTrue(line.matches("SERVER_ERROR busy [1-9][0-9]*"), line);
         }
@@ -157,9 +157,9 @@
 
     @Test
     void retriesUnsafeRequestThatANodeRejectedAsBusy() throws Exception {
-        try (Fixture fixture = new Fixture(2)) {
+        try (ProxyFixture fixture = new ProxyFixture(2)) {
             Peer client = fixture.client();
-            client.send(Fixture.write("charge", "c1", 4000));
+            client.send(ProxyFixture.writeCommand("charge", "c1", 4000));
             Peer node = nextConnection(fixture, 0);
             command(node, 4000);
             node.expect("hello");
@@ -174,32 +174,32 @@
 
     @Test
     void rejectsUnsafeRequestWhoseConnectionIsNeverEstablished() throws Exception {
-        try (Fixture fixture = new Fixture(1);
-                Peer.Deaf deaf = new Peer.Deaf()) {
+        try (ProxyFixture fixture = new ProxyFixture(1);
+                Peer.UnresponsiveListener deaf = new Peer.UnresponsiveListener()) {
             replaceEndpointsBy(fixture, deaf);
             Peer client = fixture.client();
-            client.send(Fixture.write("charge", "c1", 200));
+            client.send(ProxyFixture.writeCommand("charge", "c1", 200));
             assertTrue(client.line().startsWith("SERVER_ERROR busy "));
         }
     }
 
     @Test
     void doesNotWriteTimedOutAttemptWhenItsConnectionIsEstablishedForAnother() throws Exception {
-        try (Fixture fixture = new Fixture(
+        try (ProxyFixture fixture = new ProxyFixture(
                         1,
                         s -> s.replace("\"multiplex\":1", "\"multiplex\":4")
                                 .replace("\"secondCopies\":false", "\"secondCopies\":true")
                                 .replace("\"dialTimeoutMs\":400.0", "\"dialTimeoutMs\":9000.0")
                                 .replace("\"drainGraceMs\":1000.0", "\"drainGraceMs\":18000.0"),
                         1024);
-                Peer.Deaf deaf = new Peer.Deaf()) {
+                Peer.UnresponsiveListener deaf = new Peer.UnresponsiveListener()) {
             replaceEndpointsBy(fixture, deaf);
             Peer client = fixture.client();
             Peer patient = fixture.client();
-            client.send(Fixture.write("charge", "c1", 400));
-            patient.send(Fixture.write("charge", "c2", 4900));
+            client.send(ProxyFixture.writeCommand("charge", "c1", 400));
+            patient.send(ProxyFixture.writeCommand("charge", "c2", 4900));
             assertTrue(client.line().startsWith("SERVER_ERROR busy ")); // promises that it never runs
-            Peer node = deaf.hear();
+            Peer node = deaf.accept();
             assertEquals("ms 7f3a9c21e0b4d655 5 Oc2 Pc=charge,t=acme,d=,k=5c0f", command(node, 4900));
             node.expect("hello");
             node.send("HD Oc2 c2\r\n");
@@ -208,21 +208,21 @@
     }
 
     /** Sends a list with this node as the only endpoint, and waits until the proxy has processed it. */
-    private static void replaceEndpointsBy(Fixture fixture, Peer.Deaf node) throws Exception {
+    private static void replaceEndpointsBy(ProxyFixture fixture, Peer.UnresponsiveListener node) throws Exception {
         Peer watch = fixture.watch();
-        String entry = fixture.entry(0, "SERVING")
+        String entry = fixture.listEntry(0, "SERVING")
                 .replace("s-0", "s-9")
                 .replace(fixture.nodes.get(0).address(), node.address());
-        Fixture.chunk(watch, Fixture.list(2, true, entry));
-        Fixture.chunk(watch, "{}"); // invalid: ends the watch after the list before it was processed
+        ProxyFixture.sendChunks(watch, ProxyFixture.endpointList(2, true, entry));
+        ProxyFixture.sendChunks(watch, "{}"); // invalid: ends the watch after the list before it was processed
         watch.expectEnd();
     }
 
     @Test
     void failsUnansweredRequestAtItsDeadlineAndClosesEndpointConnection() throws Exception {
-        try (Fixture fixture = new Fixture(1)) {
+        try (ProxyFixture fixture = new ProxyFixture(1)) {
             Peer client = fixture.client();
-            client.send(Fixture.write("charge", "c1", 300));
+            client.send(ProxyFixture.writeCommand("charge", "c1", 300));
             Peer node = fixture.nodes.get(0).next();
             command(node, 300);
             node.expect("hello");
@@ -233,9 +233,9 @@
 
     @Test
     void rejectsRequestWithoutRemainingTimeAndDoesNotForwardIt() throws Exception {
-        try (Fixture fixture = new Fixture(1)) {
+        try (ProxyFixture fixture = new ProxyFixture(1)) {
             Peer client = fixture.client();
-            client.send(Fixture.write("charge", "c1", 0) + "mn\r\n");
+            client.send(ProxyFixture.writeCommand("charge", "c1", 0) + "mn\r\n");
             assertTrue(client.line().startsWith("SERVER_ERROR busy"));
             client.expect("MN");
             assertEquals(0, fixture.nodes.get(0).count());
@@ -244,7 +244,7 @@
 
     @Test
     void rejectsRequestWhoseDeadlinePassedDuringEventLoopStall() throws Exception {
-        try (Fixture fixture = new Fixture(1)) {
+        try (ProxyFixture fixture = new ProxyFixture(1)) {
             Peer client = fixture.client();
             client.send("mn\r\n");
             client.expect("MN");
@@ -257,7 +257,7 @@
                 }
             });
             loopBlocked.await();
-            client.send(Fixture.write("charge", "c1", 300));
+            client.send(ProxyFixture.writeCommand("charge", "c1", 300));
             blockedUntilNs.complete(System.nanoTime() + 500_000_000L);
             assertTrue(client.line().startsWith("SERVER_ERROR busy "));
             assertEquals(0, fixture.nodes.get(0).count());
@@ -266,18 +266,18 @@
 
     @Test
     void doesNotMistakeLateResponseOnSharedConnectionForTheNextOne() throws Exception {
-        try (Fixture fixture = new Fixture(
+        try (ProxyFixture fixture = new ProxyFixture(
                 1,
                 s -> s.replace("\"multiplex\":1", "\"multiplex\":4")
                         .replace("\"secondCopies\":false", "\"secondCopies\":true"),
                 1024)) {
             Peer client = fixture.client();
             Peer patient = fixture.client();
-            client.send(Fixture.write("charge", "c1", 300));
+            client.send(ProxyFixture.writeCommand("charge", "c1", 300));
             Peer node = fixture.nodes.get(0).next();
             command(node, 300);
             node.expect("hello");
-            patient.send(Fixture.write("charge", "c2", 4000));
+            patient.send(ProxyFixture.writeCommand("charge", "c2", 4000));
             command(node, 4000);
             node.expect("hello");
             client.expect("SERVER_ERROR failed");
@@ -289,9 +289,9 @@
 
     @Test
     void failsRequestAndClosesEndpointConnectionOnResponseWithWrongId() throws Exception {
-        try (Fixture fixture = new Fixture(1)) {
+        try (ProxyFixture fixture = new ProxyFixture(1)) {
             Peer client = fixture.client();
-            client.send(Fixture.write("charge", "c1", 4000));
+            client.send(ProxyFixture.writeCommand("charge", "c1", 4000));
             Peer node = fixture.nodes.get(0).next();
             command(node, 4000);
             node.expect("hello");
@@ -303,9 +303,9 @@
 
     @Test
     void cancelsAttemptWhenClientCloses() throws Exception {
-        try (Fixture fixture = new Fixture(1)) {
+        try (ProxyFixture fixture = new ProxyFixture(1)) {
             Peer client = fixture.client();
-            client.send(Fixture.read("a1", 4000));
+            client.send(ProxyFixture.readCommand("a1", 4000));
             Peer node = fixture.nodes.get(0).next();
             command(node, 4000);
             client.close();
@@ -315,7 +315,7 @@
 
     @Test
     void closesIdleClientConnectionForNewOneAtConnectionLimit() throws Exception {
-        try (Fixture fixture = new Fixture(1, s -> s, 128)) { // allows 40 client connections
+        try (ProxyFixture fixture = new ProxyFixture(1, s -> s, 128)) { // allows 40 client connections
             Peer oldest = fixture.client();
             oldest.send("mn\r\n");
             oldest.expect("MN");
@@ -330,20 +330,20 @@
 
     @Test
     void rejectsNewConnectionWhenAllAreBusyAtConnectionLimit() throws Exception {
-        try (Fixture fixture = new Fixture(
+        try (ProxyFixture fixture = new ProxyFixture(
                 1,
                 s -> s.replace("\"multiplex\":1", "\"multiplex\":64")
                         .replace("\"secondCopies\":false", "\"secondCopies\":true"),
                 128)) { // allows 40 client connections
             for (int i = 0; i < 40; i++) {
-                fixture.client().send(Fixture.read("a" + i, 4900));
+                fixture.client().send(ProxyFixture.readCommand("a" + i, 4900));
             }
             Peer node = fixture.nodes.get(0).next();
             for (int i = 0; i < 40; i++) {
                 command(node, 4900);
             }
             Peer excessClient = fixture.client();
-            excessClient.send(Fixture.write("charge", "c1", 4000));
+            excessClient.send(ProxyFixture.writeCommand("charge", "c1", 4000));
             assertTrue(excessClient.line().startsWith("SERVER_ERROR busy "));
             excessClient.expectEnd();
         }
@@ -351,13 +351,13 @@
 
     @Test
     void gracefulShutdownAnswersOpenRequestsBeforeClosingConnections() throws Exception {
-        try (Fixture fixture = new Fixture(1)) {
+        try (ProxyFixture fixture = new ProxyFixture(1)) {
             InetSocketAddress address = fixture.proxy.address();
             Peer waiting = fixture.client();
             Peer idle = fixture.client();
             idle.send("mn\r\n");
             idle.expect("MN");
-            waiting.send(Fixture.read("a1", 4000));
+            waiting.send(ProxyFixture.readCommand("a1", 4000));
             Peer node = fixture.nodes.get(0).next();
             command(node, 4000);
             Future<Void> end =
--- a/proxy/src/test/java/cacheproxy/server/StartOrderTest.java
+++ b/proxy/src/test/java/cacheproxy/server/StartOrderTest.java
@@ -14,23 +14,23 @@
  */
 @Timeout(60)
 class StartOrderTest {
-    private static final String EMPTY_LIST = Fixture.list(1, true);
+    private static final String EMPTY_LIST = ProxyFixture.endpointList(1, true);
 
-    private static Fixture withoutKnownNodes(int nodes) throws Exception {
-        return new Fixture(nodes, settings -> settings, 1024, created -> EMPTY_LIST);
+    private static ProxyFixture withoutKnownNodes(int nodes) throws Exception {
+        return new ProxyFixture(nodes, settings -> settings, 1024, created -> EMPTY_LIST);
     }
 
     /** Reads {@code keys} keys and returns the number of requests by node; each ready node receives a share. */
-    private static int[] requestsByNode(Fixture fixture, Arrivals arrivals, String idPrefix, int keys)
+    private static int[] requestsByNode(ProxyFixture fixture, CommandArrivals arrivals, String idPrefix, int keys)
             throws Exception {
         int[] requests = new int[fixture.nodes.size()];
         Peer client = fixture.client();
         for (int i = 0; i < keys; i++) {
             String id = idPrefix + i;
-            client.send(Fixture.read(id, 4000).replace("7f3a9c21e0b4d655", id));
+            client.send(ProxyFixture.readCommand(id, 4000).replace("7f3a9c21e0b4d655", id));
             Peer node = arrivals.next();
-            assertEquals("O" + id, Arrivals.command(node));
-            requests[arrivals.node(node)]++;
+            assertEquals("O" + id, CommandArrivals.readCommandId(node));
+            requests[arrivals.nodeIndex(node)]++;
             node.send("VA 1 O" + id + "\r\n1\r\n");
             client.expect("VA 1 O" + id, "1");
         }
@@ -45,15 +45,15 @@
     void keepsListReceivedBeforeStartIsComplete() throws Exception {
         try (Peer.Listener discovery = new Peer.Listener();
                 Peer.Listener node = new Peer.Listener();
-                Child child = new Child.Start().with(discovery, EMPTY_LIST)) {
-            Peer watch = Fixture.watch(discovery);
-            Fixture.toldAndEnded(watch, Fixture.list(2, true, Fixture.entry(0, "SERVING", node)));
-            Peer client = child.greeted();
-            client.send(Fixture.read("a1", 4000));
-            child.until("to serve instead of staying busy", () -> node.count() > 0 || hasInput(client));
+                ProxyChildProcess child = new ProxyChildProcess.Start().with(discovery, EMPTY_LIST)) {
+            Peer watch = ProxyFixture.watch(discovery);
+            ProxyFixture.sendListsAndAwaitClose(watch, ProxyFixture.endpointList(2, true, ProxyFixture.listEntry(0, "SERVING", node)));
+            Peer client = child.connectWhenReady();
+            client.send(ProxyFixture.readCommand("a1", 4000));
+            child.await("to serve instead of staying busy", () -> node.count() > 0 || hasInput(client));
             assertEquals(1, node.count(), () -> "rejected although discovery has sent a node");
             Peer connection = node.next();
-            assertEquals("Oa1", Arrivals.command(connection));
+            assertEquals("Oa1", CommandArrivals.readCommandId(connection));
             connection.send("VA 1 Oa1\r\n1\r\n");
             client.expect("VA 1 Oa1", "1");
         }
@@ -76,28 +76,28 @@
         try (Peer.Listener discovery = new Peer.Listener();
                 Peer.Listener drainingNode = new Peer.Listener();
                 Peer.Listener node = new Peer.Listener();
-                Child child = new Child.Start()
+                ProxyChildProcess child = new ProxyChildProcess.Start()
                         .with(
                                 discovery,
-                                Fixture.list(
+                                ProxyFixture.endpointList(
                                         1,
                                         true,
-                                        Fixture.entry(0, "SERVING", drainingNode),
-                                        Fixture.entry(1, "SERVING", node)))) {
-            Peer watch = Fixture.watch(discovery);
-            Fixture.toldAndEnded(watch, Fixture.list(2, false, Fixture.entry(0, "DRAINING", drainingNode)));
-            Peer client = child.greeted();
+                                        ProxyFixture.listEntry(0, "SERVING", drainingNode),
+                                        ProxyFixture.listEntry(1, "SERVING", node)))) {
+            Peer watch = ProxyFixture.watch(discovery);
+            ProxyFixture.sendListsAndAwaitClose(watch, ProxyFixture.endpointList(2, false, ProxyFixture.listEntry(0, "DRAINING", drainingNode)));
+            Peer client = child.connectWhenReady();
             Peer connection = null;
             for (int i = 0; i < 20; i++) { // the first node would receive half of these keys
-                client.send(Fixture.read("a" + i, 4000).replace("7f3a9c21e0b4d655", "a" + i));
+                client.send(ProxyFixture.readCommand("a" + i, 4000).replace("7f3a9c21e0b4d655", "a" + i));
                 Peer openConnection = connection;
-                child.until(
+                child.await(
                         "to forward the request",
                         () -> drainingNode.count() > 0
                                 || (openConnection == null ? node.count() > 0 : hasInput(openConnection)));
                 assertEquals(0, drainingNode.count(), "request sent to a draining node");
                 connection = openConnection == null ? node.next() : openConnection;
-                assertEquals("Oa" + i, Arrivals.command(connection));
+                assertEquals("Oa" + i, CommandArrivals.readCommandId(connection));
                 connection.send("VA 1 Oa" + i + "\r\n1\r\n");
                 client.expect("VA 1 Oa" + i, "1");
             }
@@ -107,56 +107,56 @@
     /** A lagging replica of discovery, or a delayed line, would bring back nodes that are gone. */
     @Test
     void rejectsOlderFullListOnSameWatch() throws Exception {
-        try (Fixture fixture = new Fixture(2)) {
-            Fixture.toldAndEnded(
+        try (ProxyFixture fixture = new ProxyFixture(2)) {
+            ProxyFixture.sendListsAndAwaitClose(
                     fixture.watch(),
-                    Fixture.list(5, true, fixture.entry(1, "SERVING")),
-                    Fixture.list(4, true, fixture.entry(0, "SERVING"), fixture.entry(1, "SERVING")));
+                    ProxyFixture.endpointList(5, true, fixture.listEntry(1, "SERVING")),
+                    ProxyFixture.endpointList(4, true, fixture.listEntry(0, "SERVING"), fixture.listEntry(1, "SERVING")));
             assertEquals(
                     0,
-                    requestsByNode(fixture, new Arrivals(fixture), "a", 20)[0],
+                    requestsByNode(fixture, new CommandArrivals(fixture), "a", 20)[0],
                     "request sent to a node that is gone");
         }
     }
 
     @Test
     void rejectsOlderChangesOnSameWatch() throws Exception {
-        try (Fixture fixture = new Fixture(2)) {
-            Fixture.toldAndEnded(
+        try (ProxyFixture fixture = new ProxyFixture(2)) {
+            ProxyFixture.sendListsAndAwaitClose(
                     fixture.watch(),
-                    Fixture.list(5, false, fixture.entry(0, "DRAINING")),
-                    Fixture.list(4, false, fixture.entry(0, "SERVING")));
+                    ProxyFixture.endpointList(5, false, fixture.listEntry(0, "DRAINING")),
+                    ProxyFixture.endpointList(4, false, fixture.listEntry(0, "SERVING")));
             assertEquals(
-                    0, requestsByNode(fixture, new Arrivals(fixture), "a", 20)[0], "request sent to a draining node");
+                    0, requestsByNode(fixture, new CommandArrivals(fixture), "a", 20)[0], "request sent to a draining node");
         }
     }
 
     /** The list of the configuration has a version too, which a list of discovery must not fall below. */
     @Test
     void rejectsListOlderThanKnownList() throws Exception {
-        try (Fixture fixture = new Fixture(
+        try (ProxyFixture fixture = new ProxyFixture(
                 2,
                 settings -> settings,
                 1024,
-                created -> Fixture.list(7, true, created.entry(0, "DRAINING"), created.entry(1, "SERVING")))) {
-            Fixture.toldAndEnded(
-                    fixture.watch(), Fixture.list(6, true, fixture.entry(0, "SERVING"), fixture.entry(1, "SERVING")));
+                created -> ProxyFixture.endpointList(7, true, created.listEntry(0, "DRAINING"), created.listEntry(1, "SERVING")))) {
+            ProxyFixture.sendListsAndAwaitClose(
+                    fixture.watch(), ProxyFixture.endpointList(6, true, fixture.listEntry(0, "SERVING"), fixture.listEntry(1, "SERVING")));
             assertEquals(
-                    0, requestsByNode(fixture, new Arrivals(fixture), "a", 20)[0], "request sent to a draining node");
+                    0, requestsByNode(fixture, new CommandArrivals(fixture), "a", 20)[0], "request sent to a draining node");
         }
     }
 
     /** Otherwise no list of a service that has lost its version count would be accepted again, and drains be missed. */
     @Test
     void acceptsOlderVersionsOnceServiceCountsAsRestarted() throws Exception {
-        try (Fixture fixture = new Fixture(2)) {
-            Arrivals arrivals = new Arrivals(fixture);
-            Fixture.toldAndEnded(fixture.watch(), Fixture.list(50, true, fixture.entry(1, "SERVING")));
+        try (ProxyFixture fixture = new ProxyFixture(2)) {
+            CommandArrivals arrivals = new CommandArrivals(fixture);
+            ProxyFixture.sendListsAndAwaitClose(fixture.watch(), ProxyFixture.endpointList(50, true, fixture.listEntry(1, "SERVING")));
             for (int call = 1; call <= 2; call++) {
                 Peer watch = nextCall(fixture);
                 assertEquals("GET /registry/instances?stream=1&index=50 HTTP/1.1", watch.line());
                 startResponse(watch);
-                Fixture.toldAndEnded(watch, Fixture.list(call, true, fixture.entry(0, "SERVING")));
+                ProxyFixture.sendListsAndAwaitClose(watch, ProxyFixture.endpointList(call, true, fixture.listEntry(0, "SERVING")));
                 assertEquals(
                         0,
                         requestsByNode(fixture, arrivals, "a" + call, 5)[0],
@@ -169,7 +169,7 @@
                 Peer watch = nextCall(fixture);
                 watch.line();
                 startResponse(watch);
-                Fixture.toldAndEnded(watch, Fixture.list(call, true, fixture.entry(0, "SERVING")));
+                ProxyFixture.sendListsAndAwaitClose(watch, ProxyFixture.endpointList(call, true, fixture.listEntry(0, "SERVING")));
                 requests = requestsByNode(fixture, arrivals, "a" + call, 5);
             }
             assertTrue(System.nanoTime() - startNs > 5_000_000_000L, "the lists of a lagging replica were accepted");
@@ -178,7 +178,7 @@
     }
 
     /** Waits for the next call: the router waits up to 12 s after three failures, longer than other tests wait. */
-    private static Peer nextCall(Fixture fixture) throws Exception {
+    private static Peer nextCall(ProxyFixture fixture) throws Exception {
         long deadlineNs = System.nanoTime() + 20_000_000_000L;
         Peer call = fixture.discovery.poll();
         for (; call == null; call = fixture.discovery.poll()) {
@@ -199,10 +199,10 @@
      * Sends two requests in turn on another connection, which must be rejected for lack of a node. All that the proxy
      * received before the second one has been handled then.
      */
-    private static void expectNoNode(Fixture fixture, String id) throws Exception {
+    private static void expectNoNode(ProxyFixture fixture, String id) throws Exception {
         Peer otherClient = fixture.client();
         for (int i = 0; i < 2; i++) {
-            otherClient.send(Fixture.read(id + i, 4000));
+            otherClient.send(ProxyFixture.readCommand(id + i, 4000));
             assertTrue(otherClient.line().startsWith("SERVER_ERROR busy"), "the proxy has no node");
         }
     }
@@ -210,20 +210,20 @@
     /** The front end sends clients to a proxy that answers MN; without a node it would reject all their requests. */
     @Test
     void answersMnOnceThereIsReadyNode() throws Exception {
-        try (Fixture fixture = withoutKnownNodes(1)) {
+        try (ProxyFixture fixture = withoutKnownNodes(1)) {
             Peer frontEnd = fixture.client();
             frontEnd.send("mn\r\n");
             expectNoNode(fixture, "a");
             assertFalse(frontEnd.ready(), "MN before there is a ready node");
             Peer watch = fixture.watch();
-            Fixture.chunk(watch, Fixture.list(2, true, fixture.entry(0, "DRAINING")), "");
+            ProxyFixture.sendChunks(watch, ProxyFixture.endpointList(2, true, fixture.listEntry(0, "DRAINING")), "");
             expectNoNode(fixture, "b");
             assertFalse(frontEnd.ready(), "MN before there is a ready node");
-            Fixture.chunk(watch, Fixture.list(3, true, fixture.entry(0, "SERVING")));
+            ProxyFixture.sendChunks(watch, ProxyFixture.endpointList(3, true, fixture.listEntry(0, "SERVING")));
             frontEnd.expect("MN");
-            frontEnd.send("mn\r\n" + Fixture.read("c1", 4000));
+            frontEnd.send("mn\r\n" + ProxyFixture.readCommand("c1", 4000));
             frontEnd.expect("MN");
-            assertEquals("Oc1", Arrivals.command(fixture.nodes.get(0).next()));
+            assertEquals("Oc1", CommandArrivals.readCommandId(fixture.nodes.get(0).next()));
         }
     }
 
@@ -231,9 +231,9 @@
     @Test
     void answersMnAfterTimeoutWithoutReadyNode() throws Exception {
         long startNs = System.nanoTime();
-        try (Fixture fixture = withoutKnownNodes(1)) {
+        try (ProxyFixture fixture = withoutKnownNodes(1)) {
             Peer frontEnd = fixture.client();
-            frontEnd.send("mn\r\n" + Fixture.read("a1", 4000) + "mn\r\n");
+            frontEnd.send("mn\r\n" + ProxyFixture.readCommand("a1", 4000) + "mn\r\n");
             frontEnd.expect("MN");
             assertTrue(System.nanoTime() - startNs > 1_500_000_000L, "answered before the timeout");
             assertTrue(
@@ -250,17 +250,17 @@
      */
     @Test
     void holdsMnUntilFirstListDespiteKnownNode() throws Exception {
-        try (Fixture fixture = Fixture.waitingForTheFirstList(1)) {
+        try (ProxyFixture fixture = ProxyFixture.awaitingFirstList(1)) {
             Peer frontEnd = fixture.client();
             frontEnd.send("mn\r\n");
             Peer watch = fixture.watch();
-            Fixture.chunk(watch, "");
+            ProxyFixture.sendChunks(watch, "");
             try (Peer barrier = Peer.to(fixture.proxy.address())) {
                 barrier.send("nonsense\r\n");
                 assertTrue(barrier.line().contains("ERROR"));
             }
             assertFalse(frontEnd.ready(), "MN before discovery has sent a list");
-            Fixture.chunk(watch, Fixture.list(1, false));
+            ProxyFixture.sendChunks(watch, ProxyFixture.endpointList(1, false));
             frontEnd.expect("MN");
         }
     }
@@ -269,7 +269,7 @@
     @Test
     void answersMnFromKnownListIfDiscoveryRefusesConnections() throws Exception {
         long startNs = System.nanoTime();
-        try (Fixture fixture = Fixture.waitingForTheFirstList(1)) {
+        try (ProxyFixture fixture = ProxyFixture.awaitingFirstList(1)) {
             fixture.discovery.close();
             Peer frontEnd = fixture.client();
             frontEnd.send("mn\r\n");
@@ -282,7 +282,7 @@
     /** While discovery accepts connections but never responds, the same applies. */
     @Test
     void answersMnFromKnownListAfterTimeoutIfDiscoveryIsSilent() throws Exception {
-        try (Fixture fixture = Fixture.waitingForTheFirstList(1)) {
+        try (ProxyFixture fixture = ProxyFixture.awaitingFirstList(1)) {
             Peer frontEnd = fixture.client();
             frontEnd.send("mn\r\n");
             frontEnd.expect("MN");
--- a/proxy/src/test/java/cacheproxy/server/StrictCommandTest.java
+++ b/proxy/src/test/java/cacheproxy/server/StrictCommandTest.java
@@ -16,7 +16,7 @@
 
     /** Sends each command on its own connection, followed by {@code mn}; all must be answered {@code CLIENT_ERROR}. */
     private static void assertRejected(String... commands) throws Exception {
-        try (Fixture fixture = new Fixture(1)) {
+        try (ProxyFixture fixture = new ProxyFixture(1)) {
             List<Peer> clients = new ArrayList<>();
             for (int i = 0; i < commands.length; i++) {
                 Peer client = fixture.client();
@@ -94,7 +94,7 @@
     /** Fields that occur once are still accepted, in any order and together with unknown fields. */
     @Test
     void forwardsCommandWithUniqueFieldsUnchanged() throws Exception {
-        try (Fixture fixture = new Fixture(1)) {
+        try (ProxyFixture fixture = new ProxyFixture(1)) {
             fixture.client().send(MG + "O1 Psize=12,x=1,h=100,r=1,k=5c0f,t=acme,c=lookup,d=4000\r\n");
             String line = fixture.nodes.get(0).next().line();
             assertTrue(line.startsWith(MG + "O1 Psize=12,x=1,h=100,r=1,k=5c0f,t=acme,c=lookup,d="), line);
@@ -104,7 +104,7 @@
     /** Guards against the remaining time being written into the key, so that another key is requested. */
     @Test
     void forwardsKeyThatLooksLikeFieldsUnchanged() throws Exception {
-        try (Fixture fixture = new Fixture(1)) {
+        try (ProxyFixture fixture = new ProxyFixture(1)) {
             String command = "mg Pc=lookup,t=acme,d=4000 v O1 Pc=lookup,t=acme,d=";
             fixture.client().send(command + "4000\r\n");
             String line = fixture.nodes.get(0).next().line();
@@ -120,11 +120,11 @@
     @Test
     void doesNotRetryWriteWithoutIdempotencyKeyThatMayHaveRun() throws Exception {
         for (String key : new String[] {"", ",k="}) {
-            try (Fixture fixture = new Fixture(2)) {
+            try (ProxyFixture fixture = new ProxyFixture(2)) {
                 Peer client = fixture.client();
                 client.send(submitCommand(key));
-                Peer node = new Arrivals(fixture).next();
-                assertEquals("Oc1", Arrivals.command(node));
+                Peer node = new CommandArrivals(fixture).next();
+                assertEquals("Oc1", CommandArrivals.readCommandId(node));
                 node.reset();
                 client.expect("SERVER_ERROR failed");
                 assertEquals(
@@ -139,11 +139,11 @@
     @Test
     void failsInsteadOfRejectingWriteWithoutIdempotencyKeyThatMayHaveRun() throws Exception {
         for (String key : new String[] {"", ",k="}) {
-            try (Fixture fixture = new Fixture(1)) {
+            try (ProxyFixture fixture = new ProxyFixture(1)) {
                 Peer client = fixture.client();
                 client.send(submitCommand(key));
                 Peer node = fixture.nodes.get(0).next();
-                assertEquals("Oc1", Arrivals.command(node));
+                assertEquals("Oc1", CommandArrivals.readCommandId(node));
                 client.expect("SERVER_ERROR failed"); // at its deadline, since the node did not respond
             }
         }
@@ -151,15 +151,15 @@
 
     @Test
     void retriesWriteWithIdempotencyKey() throws Exception {
-        try (Fixture fixture = new Fixture(2)) {
-            Arrivals arrivals = new Arrivals(fixture);
+        try (ProxyFixture fixture = new ProxyFixture(2)) {
+            CommandArrivals arrivals = new CommandArrivals(fixture);
             Peer client = fixture.client();
             client.send(submitCommand(",k=5c0f"));
             Peer node = arrivals.next();
-            assertEquals("Oc1", Arrivals.command(node));
+            assertEquals("Oc1", CommandArrivals.readCommandId(node));
             node.reset();
             Peer second = arrivals.next();
-            assertEquals("Oc1", Arrivals.command(second));
+            assertEquals("Oc1", CommandArrivals.readCommandId(second));
             second.send("HD Oc1 c7\r\n");
             client.expect("HD Oc1 c7");
         }
--- a/proxy/src/test/java/cacheproxy/server/WarmingUpNodeLimitTest.java
+++ b/proxy/src/test/java/cacheproxy/server/WarmingUpNodeLimitTest.java
@@ -36,20 +36,21 @@
         return s.replace("\"balancers\":1", "\"balancers\":4").replace("\"quotaPerS\":50.0", "\"quotaPerS\":64.0");
     }
 
-    private static String endpointList(Fixture fixture, long startedMs) {
+    private static String endpointList(ProxyFixture fixture, long startedMs) {
         String[] entries = new String[NODES];
         for (int i = 0; i < NODES; i++) {
-            entries[i] = fixture.entry(i, "SERVING")
+            entries[i] = fixture.listEntry(i, "SERVING")
                     .replace("\"started_ms\":0", "\"started_ms\":" + (i == 0 ? startedMs : 0));
         }
-        return Fixture.list(1, true, entries);
+        return ProxyFixture.endpointList(1, true, entries);
     }
 
     /** Keys that map to the cold node. Any client can compute them from the public code, node ids and any seed. */
     private static String[] keysOfColdNode() throws Exception {
         Path file = Files.createTempFile("config", ".json");
-        Files.writeString(file, Fixture.json(Fixture.list(1, true), settings(Fixture.SETTINGS), 1024));
-        RoutingSettings settings = ProxyConfiguration.load(Fixture.env(file, "127.0.0.1:1")).settings;
+        Files.writeString(
+                file, ProxyFixture.json(ProxyFixture.endpointList(1, true), settings(ProxyFixture.SETTINGS), 1024));
+        RoutingSettings settings = ProxyConfiguration.load(ProxyFixture.env(file, "127.0.0.1:1")).settings;
         Files.delete(file);
         settings.collapseMultiple = 0; // disables the slow start limit, to find the keys that map to the node
         EndpointInfo[] nodes = new EndpointInfo[NODES];
@@ -103,18 +104,18 @@
     void limitsAttemptsAtWarmingUpNodeToTheProxysShare() throws Exception {
         String[] keys = keysOfColdNode();
         long startedMs = System.currentTimeMillis();
-        try (Fixture fixture =
-                new Fixture(NODES, WarmingUpNodeLimitTest::settings, 1024, x -> endpointList(x, startedMs))) {
-            Arrivals arrivals = new Arrivals(fixture);
+        try (ProxyFixture fixture =
+                new ProxyFixture(NODES, WarmingUpNodeLimitTest::settings, 1024, x -> endpointList(x, startedMs))) {
+            CommandArrivals arrivals = new CommandArrivals(fixture);
             Deque<Long> recentArrivalsMs = new ArrayDeque<>();
             int coldArrivals = 0;
             for (int i = 0; i < REQUESTS || coldArrivals < 3; i++) {
                 assertTrue(System.currentTimeMillis() - startedMs < 30_000, "the cold node is never used");
                 Peer client = fixture.client();
-                client.send(Fixture.read("a" + i, 4000).replace("7f3a9c21e0b4d655", keys[i % REQUESTS]));
+                client.send(ProxyFixture.readCommand("a" + i, 4000).replace("7f3a9c21e0b4d655", keys[i % REQUESTS]));
                 Peer node = arrivals.next();
-                assertEquals("Oa" + i, Arrivals.command(node));
-                if (arrivals.node(node) != 0) {
+                assertEquals("Oa" + i, CommandArrivals.readCommandId(node));
+                if (arrivals.nodeIndex(node) != 0) {
                     node.send("VA 1 Oa" + i + "\r\n1\r\n");
                     client.expect("VA 1 Oa" + i, "1");
                     client.close();
--- a/proxy/src/test/java/cacheproxy/server/WatchCrossingTest.java
+++ b/proxy/src/test/java/cacheproxy/server/WatchCrossingTest.java
@@ -31,7 +31,7 @@
  */
 @Timeout(60)
 class WatchCrossingTest {
-    private static final String PUSHED_LIST_SETTINGS = Fixture.SETTINGS.replace("\"subscribe\"", "\"automatic\"");
+    private static final String PUSHED_LIST_SETTINGS = ProxyFixture.SETTINGS.replace("\"subscribe\"", "\"automatic\"");
 
     /** A proxy without nodes; records the endpoint lists that its router receives and its connection attempts. */
     private static final class ObservedProxy implements Closeable {
@@ -43,7 +43,7 @@
 
         ObservedProxy(Peer.Listener discovery, String settings) throws IOException {
             Path file = Files.createTempFile("config", ".json");
-            Files.writeString(file, Fixture.json(Fixture.list(1, true), settings, 1024));
+            Files.writeString(file, ProxyFixture.json(ProxyFixture.endpointList(1, true), settings, 1024));
             HostEnvironment countingHost = new HostEnvironment(
                     () -> {
                         connectionAttempts.add(1);
@@ -52,10 +52,10 @@
                     NioServerSocketChannel::new,
                     System::currentTimeMillis);
             proxy = ProxyServer.create(
-                    ProxyConfiguration.load(Fixture.env(file, discovery.address())),
+                    ProxyConfiguration.load(ProxyFixture.env(file, discovery.address())),
                     loop,
                     countingHost,
-                    Fixture.log(),
+                    ProxyFixture.log(),
                     this::observe);
             proxy.open();
             Files.delete(file);
@@ -100,14 +100,14 @@
                 ObservedProxy observed = new ObservedProxy(agent, PUSHED_LIST_SETTINGS)) {
             assertEquals(EndpointListKind.CACHED, observed.nextListKind());
             for (int i = 0; i < 6; i++) {
-                Peer watch = Fixture.watch(agent);
+                Peer watch = ProxyFixture.watch(agent);
                 if (i % 2 == 0) {
-                    Fixture.chunk(watch, Fixture.list(2 + i, false));
+                    ProxyFixture.sendChunks(watch, ProxyFixture.endpointList(2 + i, false));
                     assertEquals(EndpointListKind.DELTA, observed.nextListKind());
                 }
                 watch.reset();
             }
-            Fixture.watch(agent);
+            ProxyFixture.watch(agent);
             assertTrue(observed.kinds.isEmpty(), "the router was notified and would back off: " + observed.kinds);
         }
     }
@@ -135,11 +135,11 @@
     @Test
     void restartsWatchThatCannotConnectWithoutTheRouter() throws Exception {
         Peer.Listener discovery = new Peer.Listener();
-        try (ObservedProxy observed = new ObservedProxy(discovery, Fixture.SETTINGS)) {
+        try (ObservedProxy observed = new ObservedProxy(discovery, ProxyFixture.SETTINGS)) {
             observed.failuresReachTheRouter = false;
             observed.nextListKind();
-            Peer watch = Fixture.watch(discovery);
-            Fixture.chunk(watch, Fixture.list(2, false));
+            Peer watch = ProxyFixture.watch(discovery);
+            ProxyFixture.sendChunks(watch, ProxyFixture.endpointList(2, false));
             assertEquals(EndpointListKind.DELTA, observed.nextListKind());
             assertEquals(1, observed.connectionAttempts.size());
             discovery.close(); // closes the watch too
@@ -164,8 +164,8 @@
         try (Peer.Listener agent = new Peer.Listener();
                 ObservedProxy observed = new ObservedProxy(agent, PUSHED_LIST_SETTINGS)) {
             assertEquals(EndpointListKind.CACHED, observed.nextListKind());
-            Peer oldWatch = Fixture.watch(agent);
-            Fixture.chunk(oldWatch, Fixture.list(2, false));
+            Peer oldWatch = ProxyFixture.watch(agent);
+            ProxyFixture.sendChunks(oldWatch, ProxyFixture.endpointList(2, false));
             assertEquals(EndpointListKind.DELTA, observed.nextListKind());
             observed.connectionAttempts.clear();
             String[] hostAndPort = unreachableAgent.address().split(":");
@@ -181,7 +181,7 @@
     }
 
     /** Returns once the proxy has read everything that was sent before. */
-    private static void awaitReadOfEarlierInput(Fixture fixture) throws IOException {
+    private static void awaitReadOfEarlierInput(ProxyFixture fixture) throws IOException {
         try (Peer barrier = Peer.to(fixture.proxy.address())) {
             barrier.send("nonsense\r\n");
             assertTrue(barrier.line().contains("ERROR"));
@@ -194,14 +194,14 @@
      */
     @Test
     void holdsMnUntilFirstDataOfAgent() throws Exception {
-        for (String first : new String[] {"", Fixture.list(1, false)}) {
-            try (Fixture fixture = new Fixture(1, settings -> PUSHED_LIST_SETTINGS, 1024)) {
+        for (String first : new String[] {"", ProxyFixture.endpointList(1, false)}) {
+            try (ProxyFixture fixture = new ProxyFixture(1, settings -> PUSHED_LIST_SETTINGS, 1024)) {
                 Peer watch = fixture.watch();
                 Peer client = fixture.client();
                 client.send("mn\r\n");
                 awaitReadOfEarlierInput(fixture);
                 assertFalse(client.ready(), "MN before the agent has sent its list");
-                Fixture.chunk(watch, first);
+                ProxyFixture.sendChunks(watch, first);
                 client.expect("MN");
             }
         }
@@ -210,35 +210,35 @@
     /** When the first list arrived in parts, clients were served with the old list once the first part was read. */
     @Test
     void holdsMnUntilFirstListIsComplete() throws Exception {
-        try (Fixture fixture = new Fixture(2, settings -> PUSHED_LIST_SETTINGS, 1024)) {
+        try (ProxyFixture fixture = new ProxyFixture(2, settings -> PUSHED_LIST_SETTINGS, 1024)) {
             Peer watch = fixture.watch();
             Peer client = fixture.client();
             client.send("mn\r\n");
-            String list = Fixture.list(2, false, fixture.entry(1, "SERVING"), fixture.entry(0, "DRAINING"));
+            String list = ProxyFixture.endpointList(2, false, fixture.listEntry(1, "SERVING"), fixture.listEntry(0, "DRAINING"));
             int half = list.indexOf("s-0");
             watch.send(Integer.toHexString(list.length()) + "\r\n" + list.substring(0, half));
             awaitReadOfEarlierInput(fixture);
             assertFalse(client.ready(), "MN in the middle of the first list");
             watch.send(list.substring(half) + "\r\n");
             client.expect("MN");
-            client.send(Fixture.read("a1", 4000));
-            Peer node = new Arrivals(fixture).next();
-            assertEquals("Oa1", Arrivals.command(node));
+            client.send(ProxyFixture.readCommand("a1", 4000));
+            Peer node = new CommandArrivals(fixture).next();
+            assertEquals("Oa1", CommandArrivals.readCommandId(node));
             assertEquals(0, fixture.nodes.get(0).count());
         }
     }
 
     @Test
     void appliesFirstListBeforeAnsweringMn() throws Exception {
-        try (Fixture fixture = new Fixture(2, settings -> PUSHED_LIST_SETTINGS, 1024)) {
+        try (ProxyFixture fixture = new ProxyFixture(2, settings -> PUSHED_LIST_SETTINGS, 1024)) {
             Peer client = fixture.client();
             client.send("mn\r\n");
-            Fixture.chunk(fixture.watch(), Fixture.list(2, false, fixture.entry(0, "DRAINING")));
+            ProxyFixture.sendChunks(fixture.watch(), ProxyFixture.endpointList(2, false, fixture.listEntry(0, "DRAINING")));
             client.expect("MN");
             for (int i = 0; i < 20; i++) {
-                client.send(Fixture.read("a" + i, 4000).replace("7f3a9c21e0b4d655", "key" + i));
-                Peer node = new Arrivals(fixture).next();
-                assertEquals("Oa" + i, Arrivals.command(node));
+                client.send(ProxyFixture.readCommand("a" + i, 4000).replace("7f3a9c21e0b4d655", "key" + i));
+                Peer node = new CommandArrivals(fixture).next();
+                assertEquals("Oa" + i, CommandArrivals.readCommandId(node));
                 node.send("VA 1 Oa" + i + "\r\n1\r\n");
                 client.expect("VA 1 Oa" + i, "1");
                 node.close();
@@ -254,7 +254,7 @@
      */
     @Test
     void ignoresListOfOldServiceAfterMigration() throws Exception {
-        try (Fixture fixture = new Fixture(1);
+        try (ProxyFixture fixture = new ProxyFixture(1);
                 Peer.Listener newService = new Peer.Listener()) {
             Peer oldWatch = fixture.watch();
             fixture.loop.submit(() -> fixture.proxy.discovery.fetch()).get();
@@ -263,7 +263,7 @@
                 // reads the request
             }
             Peer client = fixture.client();
-            client.send(Fixture.read("a1", 4000));
+            client.send(ProxyFixture.readCommand("a1", 4000));
             Peer node = fixture.nodes.get(0).next();
             node.line();
             node.send("VA 1 Oa1\r\n1\r\n");
@@ -274,18 +274,18 @@
                     .submit(() -> fixture.proxy.discovery.move(
                             new InetSocketAddress(hostAndPort[0], Integer.parseInt(hostAndPort[1]))))
                     .get();
-            Peer newWatch = Fixture.watch(newService);
-            Fixture.chunk(newWatch, Fixture.list(3, true, fixture.entry(0, "SERVING")));
+            Peer newWatch = ProxyFixture.watch(newService);
+            ProxyFixture.sendChunks(newWatch, ProxyFixture.endpointList(3, true, fixture.listEntry(0, "SERVING")));
             oldWatch.expectEnd(); // the first list of the new service was accepted
-            String lateList = Fixture.list(900, true, fixture.entry(0, "SERVING"));
+            String lateList = ProxyFixture.endpointList(900, true, fixture.listEntry(0, "SERVING"));
             fetch.send("HTTP/1.1 200 OK\r\nContent-Length: " + lateList.length() + "\r\n\r\n" + lateList);
             fetch.expectEnd(); // the proxy has read the response
-            Fixture.chunk(newWatch, Fixture.list(4, false, fixture.entry(0, "DRAINING")));
+            ProxyFixture.sendChunks(newWatch, ProxyFixture.endpointList(4, false, fixture.listEntry(0, "DRAINING")));
             node.expectEnd();
         }
     }
 
-    private static void migrate(Fixture fixture, Peer.Listener newService) throws Exception {
+    private static void migrate(ProxyFixture fixture, Peer.Listener newService) throws Exception {
         String[] hostAndPort = newService.address().split(":");
         fixture.loop
                 .submit(() -> fixture.proxy.discovery.move(
@@ -294,9 +294,9 @@
     }
 
     /** An idle connection of the first node; the proxy closes it once it has received a drain. */
-    private static Peer idleConnection(Fixture fixture, String id) throws Exception {
+    private static Peer idleConnection(ProxyFixture fixture, String id) throws Exception {
         Peer client = fixture.client();
-        client.send(Fixture.read(id, 4000));
+        client.send(ProxyFixture.readCommand(id, 4000));
         Peer node = fixture.nodes.get(0).next();
         node.line();
         node.send("VA 1 O" + id + "\r\n1\r\n");
@@ -307,7 +307,7 @@
     /** A migration that is reverted before the new service sends a list: the old one stays in use, with a new watch. */
     @Test
     void returnsToOldServiceIfMigrationIsReverted() throws Exception {
-        try (Fixture fixture = new Fixture(1);
+        try (ProxyFixture fixture = new ProxyFixture(1);
                 Peer.Listener newService = new Peer.Listener()) {
             Peer oldWatch = fixture.watch();
             Peer node = idleConnection(fixture, "a1");
@@ -320,10 +320,10 @@
             abandonedCall.expectEnd();
             Peer newWatch = fixture.discovery.next();
             assertEquals("GET /registry/instances?stream=1&index=0 HTTP/1.1", newWatch.line());
-            Fixture.chunk(oldWatch, Fixture.list(2, false, fixture.entry(0, "DRAINING")));
+            ProxyFixture.sendChunks(oldWatch, ProxyFixture.endpointList(2, false, fixture.listEntry(0, "DRAINING")));
             node.expectEnd();
             newWatch.send("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
-            Fixture.chunk(newWatch, Fixture.list(2, true, fixture.entry(0, "DRAINING")));
+            ProxyFixture.sendChunks(newWatch, ProxyFixture.endpointList(2, true, fixture.listEntry(0, "DRAINING")));
             oldWatch.expectEnd();
         }
     }
@@ -331,13 +331,13 @@
     /** Until the new service has sent a list, drains of the old one are still applied. */
     @Test
     void appliesListsOfOldWatchUntilNewServiceSendsOne() throws Exception {
-        try (Fixture fixture = new Fixture(1);
+        try (ProxyFixture fixture = new ProxyFixture(1);
                 Peer.Listener newService = new Peer.Listener()) {
             Peer oldWatch = fixture.watch();
             Peer node = idleConnection(fixture, "a1");
             migrate(fixture, newService);
             newService.next();
-            Fixture.chunk(oldWatch, Fixture.list(2, false, fixture.entry(0, "DRAINING")));
+            ProxyFixture.sendChunks(oldWatch, ProxyFixture.endpointList(2, false, fixture.listEntry(0, "DRAINING")));
             node.expectEnd();
         }
     }
@@ -345,22 +345,22 @@
     /** If a truncated list were accepted as complete, the proxy would lose the other nodes. */
     @Test
     void retriesNewServiceThatResetsDuringItsFirstList() throws Exception {
-        try (Fixture fixture = new Fixture(1);
+        try (ProxyFixture fixture = new ProxyFixture(1);
                 Peer.Listener newService = new Peer.Listener()) {
             fixture.nodes.add(new Peer.Listener()); // not listed yet
             Peer oldWatch = fixture.watch();
             Peer node = idleConnection(fixture, "a1");
             migrate(fixture, newService);
-            Peer first = Fixture.watch(newService);
-            String list = Fixture.list(9, true, fixture.entry(1, "SERVING"), fixture.entry(0, "SERVING"));
+            Peer first = ProxyFixture.watch(newService);
+            String list = ProxyFixture.endpointList(9, true, fixture.listEntry(1, "SERVING"), fixture.listEntry(0, "SERVING"));
             String half = list.substring(0, list.indexOf("s-0"));
             first.send(Integer.toHexString(half.length()) + "\r\n" + half + "\r\n");
             first.reset();
-            Peer second = Fixture.watch(newService);
+            Peer second = ProxyFixture.watch(newService);
             assertFalse(node.ready());
-            Fixture.chunk(oldWatch, Fixture.list(2, false, fixture.entry(0, "DRAINING")));
+            ProxyFixture.sendChunks(oldWatch, ProxyFixture.endpointList(2, false, fixture.listEntry(0, "DRAINING")));
             node.expectEnd(); // the old watch is still in use
-            Fixture.chunk(second, Fixture.list(9, true, fixture.entry(1, "SERVING")));
+            ProxyFixture.sendChunks(second, ProxyFixture.endpointList(9, true, fixture.listEntry(1, "SERVING")));
             oldWatch.expectEnd();
         }
     }
