--- a/proxy/src/test/java/cacheproxy/server/StrictCommandTest.java
+++ b/proxy/src/test/java/cacheproxy/server/AmbiguousCommandTest.java
@@ -10,7 +10,7 @@
 
 /** Guards against ambiguous commands, of which the proxy reads one meaning and the node the other. */
 @Timeout(60)
-class StrictCommandTest {
+class AmbiguousCommandTest {
     private static final String MG = "mg 7f3a9c21e0b4d655 v ";
     private static final String MS = "ms 7f3a9c21e0b4d655 5 ";
 
--- a/proxy/src/test/java/cacheproxy/server/ListedTest.java
+++ b/proxy/src/test/java/cacheproxy/server/EndpointAttributesTest.java
@@ -10,10 +10,11 @@
 
 /** The fields of a list entry besides the address, which are start time, zone and cell, affect routing. */
 @Timeout(60)
-class ListedTest {
+class EndpointAttributesTest {
     private static final String KEY = "7f3a9c21e0b4d655";
 
-    private static void serveRead(Peer client, CommandArrivals arrivals, String id, int[] requestsByNode) throws Exception {
+    private static void serveRead(Peer client, CommandArrivals arrivals, String id, int[] requestsByNode)
+            throws Exception {
         client.send(ProxyFixture.readCommand(id, 4000).replace(KEY, id));
         Peer node = arrivals.next();
         assertEquals("O" + id, CommandArrivals.readCommandId(node));
@@ -44,7 +45,8 @@
     @Test
     void sendsFewKeysToNodeThatHasJustStartedByConfiguration() throws Exception {
         long now = System.currentTimeMillis();
-        try (ProxyFixture fixture = new ProxyFixture(2, settings -> settings, 1024, created -> listOfTwo(created, 1, now))) {
+        try (ProxyFixture fixture =
+                new ProxyFixture(2, settings -> settings, 1024, created -> listOfTwo(created, 1, now))) {
             int requests = requestsToFirstNode(fixture);
             assertTrue(requests <= 8, requests + " of 40");
         }
@@ -111,7 +113,8 @@
                 assertSame(
                         arrivals.nodeIndex(first) < 3,
                         arrivals.nodeIndex(second) < 3,
-                        "from " + arrivals.nodeIndex(first) + " to " + arrivals.nodeIndex(second) + ", another " + scope);
+                        "from " + arrivals.nodeIndex(first) + " to " + arrivals.nodeIndex(second) + ", another "
+                                + scope);
                 retries++;
                 second.send("HD Oc" + i + " c7\r\n");
                 client.expect("HD Oc" + i + " c7");
@@ -143,7 +146,9 @@
     void appliesLaterOfTwoEntriesForOneNode() throws Exception {
         try (ProxyFixture fixture = new ProxyFixture(1)) {
             ProxyFixture.sendListsAndAwaitClose(
-                    fixture.watch(), ProxyFixture.endpointList(2, false, fixture.listEntry(0, "DELETED"), fixture.listEntry(0, "SERVING")));
+                    fixture.watch(),
+                    ProxyFixture.endpointList(
+                            2, false, fixture.listEntry(0, "DELETED"), fixture.listEntry(0, "SERVING")));
             serveRead(fixture.client(), new CommandArrivals(fixture), "a1", new int[1]);
         }
     }
@@ -158,11 +163,13 @@
             assertEquals("Oa1", CommandArrivals.readCommandId(oldConnection));
             fixture.nodes.add(new Peer.Listener());
             ProxyFixture.sendListsAndAwaitClose(
-                    fixture.watch(), ProxyFixture.endpointList(2, false, ProxyFixture.listEntry(0, "SERVING", fixture.nodes.get(1))));
+                    fixture.watch(),
+                    ProxyFixture.endpointList(2, false, ProxyFixture.listEntry(0, "SERVING", fixture.nodes.get(1))));
             oldConnection.send("VA 1 Oa1\r\n1\r\n");
             client.expect("VA 1 Oa1", "1");
             client.send(ProxyFixture.readCommand("a2", 4000));
-            assertEquals("Oa2", CommandArrivals.readCommandId(fixture.nodes.get(1).next()));
+            assertEquals(
+                    "Oa2", CommandArrivals.readCommandId(fixture.nodes.get(1).next()));
             oldConnection.expectEnd();
         }
     }
--- a/proxy/src/test/java/cacheproxy/server/StartOrderTest.java
+++ b/proxy/src/test/java/cacheproxy/server/EndpointListOrderTest.java
@@ -13,7 +13,7 @@
  * to serve with, but not without limit.
  */
 @Timeout(60)
-class StartOrderTest {
+class EndpointListOrderTest {
     private static final String EMPTY_LIST = ProxyFixture.endpointList(1, true);
 
     private static ProxyFixture withoutKnownNodes(int nodes) throws Exception {
@@ -47,7 +47,8 @@
                 Peer.Listener node = new Peer.Listener();
                 ProxyChildProcess child = new ProxyChildProcess.Start().with(discovery, EMPTY_LIST)) {
             Peer watch = ProxyFixture.watch(discovery);
-            ProxyFixture.sendListsAndAwaitClose(watch, ProxyFixture.endpointList(2, true, ProxyFixture.listEntry(0, "SERVING", node)));
+            ProxyFixture.sendListsAndAwaitClose(
+                    watch, ProxyFixture.endpointList(2, true, ProxyFixture.listEntry(0, "SERVING", node)));
             Peer client = child.connectWhenReady();
             client.send(ProxyFixture.readCommand("a1", 4000));
             child.await("to serve instead of staying busy", () -> node.count() > 0 || hasInput(client));
@@ -85,7 +86,8 @@
                                         ProxyFixture.listEntry(0, "SERVING", drainingNode),
                                         ProxyFixture.listEntry(1, "SERVING", node)))) {
             Peer watch = ProxyFixture.watch(discovery);
-            ProxyFixture.sendListsAndAwaitClose(watch, ProxyFixture.endpointList(2, false, ProxyFixture.listEntry(0, "DRAINING", drainingNode)));
+            ProxyFixture.sendListsAndAwaitClose(
+                    watch, ProxyFixture.endpointList(2, false, ProxyFixture.listEntry(0, "DRAINING", drainingNode)));
             Peer client = child.connectWhenReady();
             Peer connection = null;
             for (int i = 0; i < 20; i++) { // the first node would receive half of these keys
@@ -111,7 +113,8 @@
             ProxyFixture.sendListsAndAwaitClose(
                     fixture.watch(),
                     ProxyFixture.endpointList(5, true, fixture.listEntry(1, "SERVING")),
-                    ProxyFixture.endpointList(4, true, fixture.listEntry(0, "SERVING"), fixture.listEntry(1, "SERVING")));
+                    ProxyFixture.endpointList(
+                            4, true, fixture.listEntry(0, "SERVING"), fixture.listEntry(1, "SERVING")));
             assertEquals(
                     0,
                     requestsByNode(fixture, new CommandArrivals(fixture), "a", 20)[0],
@@ -127,7 +130,9 @@
                     ProxyFixture.endpointList(5, false, fixture.listEntry(0, "DRAINING")),
                     ProxyFixture.endpointList(4, false, fixture.listEntry(0, "SERVING")));
             assertEquals(
-                    0, requestsByNode(fixture, new CommandArrivals(fixture), "a", 20)[0], "request sent to a draining node");
+                    0,
+                    requestsByNode(fixture, new CommandArrivals(fixture), "a", 20)[0],
+                    "request sent to a draining node");
         }
     }
 
@@ -138,11 +143,16 @@
                 2,
                 settings -> settings,
                 1024,
-                created -> ProxyFixture.endpointList(7, true, created.listEntry(0, "DRAINING"), created.listEntry(1, "SERVING")))) {
+                created -> ProxyFixture.endpointList(
+                        7, true, created.listEntry(0, "DRAINING"), created.listEntry(1, "SERVING")))) {
             ProxyFixture.sendListsAndAwaitClose(
-                    fixture.watch(), ProxyFixture.endpointList(6, true, fixture.listEntry(0, "SERVING"), fixture.listEntry(1, "SERVING")));
+                    fixture.watch(),
+                    ProxyFixture.endpointList(
+                            6, true, fixture.listEntry(0, "SERVING"), fixture.listEntry(1, "SERVING")));
             assertEquals(
-                    0, requestsByNode(fixture, new CommandArrivals(fixture), "a", 20)[0], "request sent to a draining node");
+                    0,
+                    requestsByNode(fixture, new CommandArrivals(fixture), "a", 20)[0],
+                    "request sent to a draining node");
         }
     }
 
@@ -151,12 +161,14 @@
     void acceptsOlderVersionsOnceServiceCountsAsRestarted() throws Exception {
         try (ProxyFixture fixture = new ProxyFixture(2)) {
             CommandArrivals arrivals = new CommandArrivals(fixture);
-            ProxyFixture.sendListsAndAwaitClose(fixture.watch(), ProxyFixture.endpointList(50, true, fixture.listEntry(1, "SERVING")));
+            ProxyFixture.sendListsAndAwaitClose(
+                    fixture.watch(), ProxyFixture.endpointList(50, true, fixture.listEntry(1, "SERVING")));
             for (int call = 1; call <= 2; call++) {
                 Peer watch = nextCall(fixture);
                 assertEquals("GET /registry/instances?stream=1&index=50 HTTP/1.1", watch.line());
                 startResponse(watch);
-                ProxyFixture.sendListsAndAwaitClose(watch, ProxyFixture.endpointList(call, true, fixture.listEntry(0, "SERVING")));
+                ProxyFixture.sendListsAndAwaitClose(
+                        watch, ProxyFixture.endpointList(call, true, fixture.listEntry(0, "SERVING")));
                 assertEquals(
                         0,
                         requestsByNode(fixture, arrivals, "a" + call, 5)[0],
@@ -169,7 +181,8 @@
                 Peer watch = nextCall(fixture);
                 watch.line();
                 startResponse(watch);
-                ProxyFixture.sendListsAndAwaitClose(watch, ProxyFixture.endpointList(call, true, fixture.listEntry(0, "SERVING")));
+                ProxyFixture.sendListsAndAwaitClose(
+                        watch, ProxyFixture.endpointList(call, true, fixture.listEntry(0, "SERVING")));
                 requests = requestsByNode(fixture, arrivals, "a" + call, 5);
             }
             assertTrue(System.nanoTime() - startNs > 5_000_000_000L, "the lists of a lagging replica were accepted");
@@ -223,7 +236,8 @@
             frontEnd.expect("MN");
             frontEnd.send("mn\r\n" + ProxyFixture.readCommand("c1", 4000));
             frontEnd.expect("MN");
-            assertEquals("Oc1", CommandArrivals.readCommandId(fixture.nodes.get(0).next()));
+            assertEquals(
+                    "Oc1", CommandArrivals.readCommandId(fixture.nodes.get(0).next()));
         }
     }
 
--- a/proxy/src/test/java/cacheproxy/server/BadClientsTest.java
+++ b/proxy/src/test/java/cacheproxy/server/MisbehavingClientsTest.java
@@ -10,7 +10,7 @@
 
 /** Clients that are silent, stop inside a command, flood or send invalid input are closed; others are still served. */
 @Timeout(60)
-class BadClientsTest {
+class MisbehavingClientsTest {
     private static void assertServed(ProxyFixture fixture, Peer client, String id) throws Exception {
         client.send(ProxyFixture.readCommand(id, 4000));
         Peer node = fixture.nodes.get(0).next();
@@ -58,7 +58,8 @@
     void answersOpenRequestThenReportsIncompleteCommandAndCloses() throws Exception {
         try (ProxyFixture fixture = new ProxyFixture(1)) {
             Peer client = fixture.client();
-            client.send(ProxyFixture.readCommand("a1", 4900) + "ms 7f3a9c21e0b4d655 5 Oa2 Pc=charge,t=acme,d=900,k=1\r\nhe");
+            client.send(ProxyFixture.readCommand("a1", 4900)
+                    + "ms 7f3a9c21e0b4d655 5 Oa2 Pc=charge,t=acme,d=900,k=1\r\nhe");
             Peer node = fixture.nodes.get(0).next();
             node.line();
             // opened later, so when this one is closed the timeout of the other has passed too
--- a/proxy/src/test/java/cacheproxy/server/ServingTest.java
+++ b/proxy/src/test/java/cacheproxy/server/RequestServingTest.java
@@ -16,7 +16,7 @@
 
 /** One proxy with scripted clients and cache nodes: responses, their order, and the handling of failures. */
 @Timeout(60)
-class ServingTest {
+class RequestServingTest {
 
     /** The next command at a node without its waiting time, which is checked to be between 1 and the given maximum. */
     private static String command(Peer node, int maxWaitMs) throws IOException {
--- a/proxy/src/test/java/cacheproxy/server/ClientLinkTest.java
+++ b/proxy/src/test/java/cacheproxy/server/UnansweredRequestLimitTest.java
@@ -8,7 +8,7 @@
 
 /** Limit on the unanswered requests of one client connection. */
 @Timeout(60)
-class ClientLinkTest {
+class UnansweredRequestLimitTest {
 
     /** Guards against reading that stays suspended forever after too many unanswered requests of a client. */
     @Test
--- a/proxy/src/test/java/cacheproxy/server/WatchCrossingTest.java
+++ b/proxy/src/test/java/cacheproxy/server/WatchLifecycleTest.java
@@ -30,7 +30,7 @@
  * migration to another discovery service.
  */
 @Timeout(60)
-class WatchCrossingTest {
+class WatchLifecycleTest {
     private static final String PUSHED_LIST_SETTINGS = ProxyFixture.SETTINGS.replace("\"subscribe\"", "\"automatic\"");
 
     /** A proxy without nodes; records the endpoint lists that its router receives and its connection attempts. */
@@ -63,7 +63,7 @@
 
         private RequestRouter observe(RequestRouter router) {
             return (RequestRouter) java.lang.reflect.Proxy.newProxyInstance(
-                    WatchCrossingTest.class.getClassLoader(),
+                    WatchLifecycleTest.class.getClassLoader(),
                     new Class<?>[] {RequestRouter.class},
                     (self, method, arguments) -> {
                         if (method.getName().equals("onEndpointList")) {
