--- a/proxy/src/main/java/cacheproxy/discovery/DiscoveryClient.java
+++ b/proxy/src/main/java/cacheproxy/discovery/DiscoveryClient.java
@@ -97,7 +97,7 @@
     }
 
     /** The endpoint list of the configuration; to be handled before any other list, because it is older. */
-    public List<Endpoint> known() {
+    public List<Endpoint> lastKnownEndpoints() {
         return numbered(parser.entries(knownList));
     }
 
@@ -115,7 +115,7 @@
     }
 
     /** Releases the number of an endpoint that is gone. Its id never returns: each new machine gets a new one. */
-    public void forget(int number) {
+    public void releaseNumber(int number) {
         endpointNumbers.release(number);
     }
 
@@ -125,17 +125,17 @@
      * discovery is polled, a random delay of up to {@link WatchTimeouts#FIRST_CALL_SPREAD_MS} spreads the calls of
      * proxies that start together.
      */
-    public void begin() {
+    public void start() {
         firstCallNs = nowNs();
         if (agentPushesLists) {
-            watch();
+            startWatch();
         } else {
             retryWatchAfter(random.nextInt(WatchTimeouts.FIRST_CALL_SPREAD_MS));
         }
     }
 
     /** Starts a watch unless one is open or scheduled, because each call makes the service send list lines. */
-    public void watch() {
+    public void startWatch() {
         if (migration.isActive() || watch != null || watchRetry != null) {
             return;
         }
@@ -143,7 +143,7 @@
     }
 
     /** Requests a single list of all endpoints. */
-    public void fetch() {
+    public void fetchList() {
         startCall(LIST_PATH, false);
     }
 
@@ -152,7 +152,7 @@
      * service has sent its first list, the list held stays in use, and so does the old watch while it lasts. The new
      * service is asked for all endpoints, because its list versions are unrelated to those of the old one.
      */
-    public void move(InetSocketAddress to) {
+    public void migrateTo(InetSocketAddress to) {
         if (to.equals(service)) {
             return;
         }
@@ -175,7 +175,7 @@
         watchRetry = eventLoop.schedule(
                 () -> {
                     watchRetry = null;
-                    watch();
+                    startWatch();
                 },
                 delayMs,
                 TimeUnit.MILLISECONDS);
@@ -277,7 +277,7 @@
         public void watchUpToDate() {
             hasBeenUpToDate = true;
             lastUpToDateNs = nowNs();
-            listener.watchHeard();
+            listener.watchUpToDate();
         }
 
         @Override
--- a/proxy/src/main/java/cacheproxy/discovery/EndpointListListener.java
+++ b/proxy/src/main/java/cacheproxy/discovery/EndpointListListener.java
@@ -14,7 +14,7 @@
     void endpointsReceived(EndpointListKind kind, List<Endpoint> endpoints);
 
     /** The watch has sent data: every change that discovery had until now has been received. */
-    void watchHeard();
+    void watchUpToDate();
 
     /** Several consecutive connections to discovery have failed: changes cannot be received for now. */
     void discoveryUnreachable();
--- a/proxy/src/main/java/cacheproxy/server/EndpointList.java
+++ b/proxy/src/main/java/cacheproxy/server/EndpointList.java
@@ -85,7 +85,7 @@
         pools.leave(number, removed);
         if (removed) {
             states.remove(number);
-            discovery.forget(number); // even if it was never listed, else discovery would keep its number forever
+            discovery.releaseNumber(number); // even if it was never listed, else discovery would keep its number forever
         }
     }
 
--- a/proxy/src/main/java/cacheproxy/server/ProxyServer.java
+++ b/proxy/src/main/java/cacheproxy/server/ProxyServer.java
@@ -97,7 +97,7 @@
         endpoints = new EndpointList(router, pools, discovery, log);
         listener = new ClientListener(clients, clock, configuration, loop, host);
         // before the router, which starts timers: if a malformed list prevents the start, nothing may be called
-        List<Endpoint> configuredEndpoints = discovery.known();
+        List<Endpoint> configuredEndpoints = discovery.lastKnownEndpoints();
         RoutingActions actions = new RouterActionHandler(exchanges, pools, discovery, router, clock, log);
         router.begin(wrap.apply(new FairRouter(settings, configuration.seed, clock.nowUs(), actions)), actions);
         // before any list from the watch, because the configuration's list is older
@@ -161,7 +161,7 @@
 
     /** Applies the discovery address of a valid new configuration; may be called on any thread. */
     void reload(ProxyConfiguration changed) {
-        loop.execute(() -> discovery.move(changed.discovery));
+        loop.execute(() -> discovery.migrateTo(changed.discovery));
     }
 
     // ---- life cycle, on the event loop ----
@@ -170,7 +170,7 @@
     Future<Void> begin() {
         clock.start();
         readiness.start();
-        discovery.begin();
+        discovery.start();
         return listener.open();
     }
 
@@ -229,7 +229,7 @@
     }
 
     @Override
-    public void watchHeard() {
+    public void watchUpToDate() {
         if (!readiness.isReady()) {
             readiness.stopWaiting(ReadinessGate.Cause.LIST_RECEIVED, endpoints.canServe());
         }
--- a/proxy/src/main/java/cacheproxy/server/RouterActionHandler.java
+++ b/proxy/src/main/java/cacheproxy/server/RouterActionHandler.java
@@ -82,12 +82,12 @@
 
     @Override
     public void subscribeToEndpoints() {
-        discovery.watch();
+        discovery.startWatch();
     }
 
     @Override
     public void fetchEndpoints() {
-        discovery.fetch();
+        discovery.fetchList();
     }
 
     @Override
--- a/proxy/src/test/java/cacheproxy/server/WatchLifecycleTest.java
+++ b/proxy/src/test/java/cacheproxy/server/WatchLifecycleTest.java
@@ -170,7 +170,7 @@
             observed.connectionAttempts.clear();
             String[] hostAndPort = unreachableAgent.address().split(":");
             observed.loop
-                    .submit(() -> observed.proxy.discovery.move(
+                    .submit(() -> observed.proxy.discovery.migrateTo(
                             new InetSocketAddress(hostAndPort[0], Integer.parseInt(hostAndPort[1]))))
                     .get();
             oldWatch.expectEnd();
@@ -214,7 +214,8 @@
             Peer watch = fixture.watch();
             Peer client = fixture.client();
             client.send("mn\r\n");
-            String list = ProxyFixture.endpointList(2, false, fixture.listEntry(1, "SERVING"), fixture.listEntry(0, "DRAINING"));
+            String list = ProxyFixture.endpointList(
+                    2, false, fixture.listEntry(1, "SERVING"), fixture.listEntry(0, "DRAINING"));
             int half = list.indexOf("s-0");
             watch.send(Integer.toHexString(list.length()) + "\r\n" + list.substring(0, half));
             awaitReadOfEarlierInput(fixture);
@@ -233,7 +234,8 @@
         try (ProxyFixture fixture = new ProxyFixture(2, settings -> PUSHED_LIST_SETTINGS, 1024)) {
             Peer client = fixture.client();
             client.send("mn\r\n");
-            ProxyFixture.sendChunks(fixture.watch(), ProxyFixture.endpointList(2, false, fixture.listEntry(0, "DRAINING")));
+            ProxyFixture.sendChunks(
+                    fixture.watch(), ProxyFixture.endpointList(2, false, fixture.listEntry(0, "DRAINING")));
             client.expect("MN");
             for (int i = 0; i < 20; i++) {
                 client.send(ProxyFixture.readCommand("a" + i, 4000).replace("7f3a9c21e0b4d655", "key" + i));
@@ -257,7 +259,7 @@
         try (ProxyFixture fixture = new ProxyFixture(1);
                 Peer.Listener newService = new Peer.Listener()) {
             Peer oldWatch = fixture.watch();
-            fixture.loop.submit(() -> fixture.proxy.discovery.fetch()).get();
+            fixture.loop.submit(() -> fixture.proxy.discovery.fetchList()).get();
             Peer fetch = fixture.discovery.next();
             while (!fetch.line().isEmpty()) {
                 // reads the request
@@ -271,7 +273,7 @@
 
             String[] hostAndPort = newService.address().split(":");
             fixture.loop
-                    .submit(() -> fixture.proxy.discovery.move(
+                    .submit(() -> fixture.proxy.discovery.migrateTo(
                             new InetSocketAddress(hostAndPort[0], Integer.parseInt(hostAndPort[1]))))
                     .get();
             Peer newWatch = ProxyFixture.watch(newService);
@@ -288,7 +290,7 @@
     private static void migrate(ProxyFixture fixture, Peer.Listener newService) throws Exception {
         String[] hostAndPort = newService.address().split(":");
         fixture.loop
-                .submit(() -> fixture.proxy.discovery.move(
+                .submit(() -> fixture.proxy.discovery.migrateTo(
                         new InetSocketAddress(hostAndPort[0], Integer.parseInt(hostAndPort[1]))))
                 .get();
     }
@@ -352,7 +354,8 @@
             Peer node = idleConnection(fixture, "a1");
             migrate(fixture, newService);
             Peer first = ProxyFixture.watch(newService);
-            String list = ProxyFixture.endpointList(9, true, fixture.listEntry(1, "SERVING"), fixture.listEntry(0, "SERVING"));
+            String list = ProxyFixture.endpointList(
+                    9, true, fixture.listEntry(1, "SERVING"), fixture.listEntry(0, "SERVING"));
             String half = list.substring(0, list.indexOf("s-0"));
             first.send(Integer.toHexString(half.length()) + "\r\n" + half + "\r\n");
             first.reset();
