--- a/proxy/src/main/java/cacheproxy/configuration/ProxyConfiguration.java
+++ b/proxy/src/main/java/cacheproxy/configuration/ProxyConfiguration.java
@@ -23,7 +23,7 @@
  */
 public final class ProxyConfiguration {
     /** The environment variable with the path of the control socket; if it is unset there is no control channel. */
-    public static final String CONTROL_VARIABLE = "LB_CONTROL";
+    public static final String CONTROL_SOCKET_VARIABLE = "LB_CONTROL";
 
     private static final String FILE_VARIABLE = "LB_CONFIG";
     private static final String IN_CONFIGURATION = " in the configuration";
@@ -41,18 +41,18 @@
     public final InetSocketAddress discovery;
     public final long seed;
     /** The maximum number of file descriptors of the process. */
-    public final int sockets;
+    public final int maxFileDescriptors;
     /**
      * The maximum number of connections to one endpoint, above which requests share them; 0 means the endpoint's share
      * of the file descriptors for endpoints.
      */
-    public final int nodeConnections;
+    public final int maxConnectionsPerEndpoint;
 
     public final RoutingSettings settings;
     public final List<?> zones;
     public final List<?> kinds;
     /** The last known endpoint list, in the format of discovery. */
-    public final Map<String, Object> known;
+    public final Map<String, Object> lastKnownList;
 
     /** See {@link #digest(Map, String)}. */
     private final String digest;
@@ -71,11 +71,11 @@
         seed = FieldReader.hexadecimal(
                 FieldReader.requireString(document, "seed", CONFIGURATION), "seed" + IN_CONFIGURATION);
         Map<String, Object> limits = FieldReader.requireObject(document, "limits", CONFIGURATION);
-        sockets = FieldReader.requireInteger(limits, "sockets", MIN_SOCKETS, "limits.sockets");
-        nodeConnections = limits.containsKey("node_connections")
+        maxFileDescriptors = FieldReader.requireInteger(limits, "sockets", MIN_SOCKETS, "limits.sockets");
+        maxConnectionsPerEndpoint = limits.containsKey("node_connections")
                 ? FieldReader.requireInteger(limits, "node_connections", 0, "limits.node_connections")
                 : 0;
-        known = FieldReader.requireObject(document, "known", CONFIGURATION);
+        lastKnownList = FieldReader.requireObject(document, "known", CONFIGURATION);
         Map<String, Object> settingsObject = FieldReader.requireObject(document, "settings", CONFIGURATION);
         Map<String, String> settingsByPath = new HashMap<>();
         flatten("", settingsObject, settingsByPath);
@@ -84,8 +84,8 @@
         kinds = FieldReader.listOrEmpty(settingsObject, "kinds");
         settingsByPath.forEach((path, value) -> restartOnlyFields.put(SETTINGS_PREFIX + path, value));
         restartOnlyFields.put("seed", Long.toHexString(seed));
-        restartOnlyFields.put("limits.sockets", Integer.toString(sockets));
-        restartOnlyFields.put("limits.node_connections", Integer.toString(nodeConnections));
+        restartOnlyFields.put("limits.sockets", Integer.toString(maxFileDescriptors));
+        restartOnlyFields.put("limits.node_connections", Integer.toString(maxConnectionsPerEndpoint));
     }
 
     private static RoutingSettings checkedSettings(Map<String, String> settingsByPath) {
@@ -107,11 +107,11 @@
         listen = other.listen;
         discovery = other.discovery;
         seed = other.seed;
-        sockets = other.sockets;
-        nodeConnections = other.nodeConnections;
+        maxFileDescriptors = other.maxFileDescriptors;
+        maxConnectionsPerEndpoint = other.maxConnectionsPerEndpoint;
         zones = other.zones;
         kinds = other.kinds;
-        known = Map.of("version", 0, "full", true, "servers", List.of());
+        lastKnownList = Map.of("version", 0, "full", true, "servers", List.of());
         digest = null;
         Map<String, String> settingsByPath = new HashMap<>();
         other.restartOnlyFields.forEach((path, value) -> {
@@ -162,14 +162,14 @@
 
     /** The first 16 hexadecimal digits of the text's SHA-256; null without a control channel, its only user. */
     public static String digest(Map<String, String> environment, String text) {
-        return controlled(environment) ? Fingerprint.of(text) : null;
+        return hasControlChannel(environment) ? Fingerprint.of(text) : null;
     }
 
     /**
      * Whether a control channel is configured; checked here, so that its classes are not loaded where there is none.
      */
-    public static boolean controlled(Map<String, String> environment) {
-        String path = environment.get(CONTROL_VARIABLE);
+    public static boolean hasControlChannel(Map<String, String> environment) {
+        String path = environment.get(CONTROL_SOCKET_VARIABLE);
         return path != null && !path.isBlank();
     }
 
--- a/proxy/src/main/java/cacheproxy/discovery/DiscoveryClient.java
+++ b/proxy/src/main/java/cacheproxy/discovery/DiscoveryClient.java
@@ -91,7 +91,7 @@
                         agentPushesLists ? pushTimeoutMs : WatchTimeouts.MAX_BACKOFF_MS,
                         random),
                 () -> startCall(WATCH_PATH + 0, true));
-        knownList = config.known;
+        knownList = config.lastKnownList;
         parser = new EndpointListParser(config, clock::fromUnixMs);
         version = new ListVersion(EndpointListParser.version(knownList));
     }
--- a/proxy/src/main/java/cacheproxy/logging/Log.java
+++ b/proxy/src/main/java/cacheproxy/logging/Log.java
@@ -28,7 +28,7 @@
     }
 
     /** The name of the environment variable that sets the level of detail. */
-    public static final String VARIABLE = "LB_LOG";
+    public static final String LEVEL_VARIABLE = "LB_LOG";
 
     private static final String REQUESTS_DETAIL = "requests";
 
--- a/proxy/src/main/java/cacheproxy/memcache/MetaResponse.java
+++ b/proxy/src/main/java/cacheproxy/memcache/MetaResponse.java
@@ -90,7 +90,7 @@
         try {
             double number = Double.parseDouble(text);
             if (number >= 0 && number <= MAX_LOAD_NUMBER) {
-                SettingsText.report(name, number, report);
+                SettingsText.setReportField(name, number, report);
             }
         } catch (NumberFormatException e) {
             // left out like an implausible number
--- a/proxy/src/main/java/cacheproxy/routing/SettingsText.java
+++ b/proxy/src/main/java/cacheproxy/routing/SettingsText.java
@@ -136,7 +136,7 @@
     }
 
     /** Sets one value of a load report by its name on the wire or in the cache protocol. */
-    public static void report(String field, double value, LoadReport report) {
+    public static void setReportField(String field, double value, LoadReport report) {
         switch (field) {
             case "rif", "inflight" -> report.inFlight = value;
             case "q", "queue" -> report.queueLength = value;
--- a/proxy/src/main/java/cacheproxy/server/ControlChannel.java
+++ b/proxy/src/main/java/cacheproxy/server/ControlChannel.java
@@ -71,9 +71,9 @@
         server = ControlServer.open(loop, path, this);
     }
 
-    /** Opens the channel; called only if {@link ProxyConfiguration#controlled} is true. */
+    /** Opens the channel; called only if {@link ProxyConfiguration#hasControlChannel} is true. */
     static ControlChannel open(Map<String, String> env) {
-        String text = FieldReader.variable(env, ProxyConfiguration.CONTROL_VARIABLE);
+        String text = FieldReader.variable(env, ProxyConfiguration.CONTROL_SOCKET_VARIABLE);
         Path path;
         try {
             path = Path.of(text);
@@ -82,7 +82,7 @@
         }
         if (path == null || path.getFileName() == null) {
             throw new InvalidInputException(
-                    ProxyConfiguration.CONTROL_VARIABLE + " is not a path: " + PrintableText.of(text));
+                    ProxyConfiguration.CONTROL_SOCKET_VARIABLE + " is not a path: " + PrintableText.of(text));
         }
         return new ControlChannel(env, path);
     }
--- a/proxy/src/main/java/cacheproxy/server/ProxyProcess.java
+++ b/proxy/src/main/java/cacheproxy/server/ProxyProcess.java
@@ -31,7 +31,7 @@
     private static final long LOG_FLUSH_TIMEOUT_MS = 200;
 
     private final AsyncLogWriter writer = new AsyncLogWriter(System.err);
-    private final Log log = new Log(System::nanoTime, writer, System.getenv(Log.VARIABLE));
+    private final Log log = new Log(System::nanoTime, writer, System.getenv(Log.LEVEL_VARIABLE));
 
     private final Supplier<IoHandlerFactory> io;
     /** Null if {@code LB_CONTROL} is not set. */
@@ -74,7 +74,7 @@
     private void start(Map<String, String> env, ProcessSignals signals) {
         signals.onTerm(() -> exit(0)); // nothing to answer yet: no request is accepted before the proxy listens
         InternalLoggerFactory.setDefaultFactory(new NettyLoggerFactory(log)); // before any Netty class is loaded
-        control = ProxyConfiguration.controlled(env) ? ControlChannel.open(env) : null;
+        control = ProxyConfiguration.hasControlChannel(env) ? ControlChannel.open(env) : null;
         ProxyConfiguration config = ProxyConfiguration.load(env);
         ThreadFactory thread = loopTask -> new FastThreadLocalThread(() -> exitWhenItEnds(loopTask), "loop");
         EventLoop loop = new MultiThreadIoEventLoopGroup(1, thread, io.get()).next();
--- a/proxy/src/main/java/cacheproxy/server/ProxyServer.java
+++ b/proxy/src/main/java/cacheproxy/server/ProxyServer.java
@@ -79,9 +79,9 @@
         readiness = new ReadinessGate(log);
         router = new RouterDispatcher(settings, clock, faults);
         exchanges = new RequestExchanges(settings, clock, log, router, readiness, counters);
-        int descriptors = configuration.sockets - OWN_DESCRIPTORS;
+        int descriptors = configuration.maxFileDescriptors - OWN_DESCRIPTORS;
         int maxClients = descriptors / 2;
-        int maxEstablishedClients = configuration.sockets / ESTABLISHED_CLIENTS_DIVISOR;
+        int maxEstablishedClients = configuration.maxFileDescriptors / ESTABLISHED_CLIENTS_DIVISOR;
         clients =
                 new ClientConnections(clock, log, requestNames(settings), exchanges, maxClients, maxEstablishedClients);
         pools = new EndpointPools(
@@ -92,7 +92,7 @@
                 log,
                 exchanges,
                 descriptors - maxClients - ClientConnections.MAX_REJECTING,
-                configuration.nodeConnections);
+                configuration.maxConnectionsPerEndpoint);
         discovery = new DiscoveryClient(this, clock, configuration, loop, host, log);
         endpoints = new EndpointList(router, pools, discovery, log);
         listener = new ClientListener(clients, clock, configuration, loop, host);
--- a/proxy/src/main/java/cacheproxy/simulator/SimHost.java
+++ b/proxy/src/main/java/cacheproxy/simulator/SimHost.java
@@ -253,7 +253,7 @@
         report.clear();
         for (int i = 0; i < fieldCount; i++) {
             float value = reader.f32();
-            SettingsText.report(i < fields.length ? fields[i] : "", value, report);
+            SettingsText.setReportField(i < fields.length ? fields[i] : "", value, report);
         }
     }
 
--- a/proxy/src/test/java/cacheproxy/server/ControlChannelLoopTest.java
+++ b/proxy/src/test/java/cacheproxy/server/ControlChannelLoopTest.java
@@ -46,7 +46,7 @@
         ControlFixture() throws IOException {
             Files.writeString(file, ProxyFixture.json(ProxyFixture.endpointList(1, true), ProxyFixture.SETTINGS, 1024));
             env = new java.util.HashMap<>(ProxyFixture.env(file, fixture.discovery.address()));
-            env.put(ProxyConfiguration.CONTROL_VARIABLE, socket.toString());
+            env.put(ProxyConfiguration.CONTROL_SOCKET_VARIABLE, socket.toString());
             control = ControlChannel.open(env);
         }
 
