--- a/proxy/src/main/java/cacheproxy/client/CloseReason.java
+++ b/proxy/src/main/java/cacheproxy/client/ClientCloseReason.java
@@ -1,7 +1,7 @@
 package cacheproxy.client;
 
 /** Why this process closed a client connection, for the log. */
-enum CloseReason {
+enum ClientCloseReason {
     RESPONSES_NOT_READ("too many unwritten response bytes in the proxy"),
     FRAMING_LOST("protocol framing lost, further input cannot be decoded"),
     CLOSED_AFTER_LAST_RESPONSE("last response sent"),
@@ -11,7 +11,7 @@
 
     final String text;
 
-    CloseReason(String text) {
+    ClientCloseReason(String text) {
         this.text = text;
     }
 }
--- a/proxy/src/main/java/cacheproxy/client/ClientSession.java
+++ b/proxy/src/main/java/cacheproxy/client/ClientSession.java
@@ -420,7 +420,7 @@
         slot.response(response);
         connections.addUnwrittenResponseBytes(response.readableBytes());
         if (connections.hasTooManyUnwrittenBytes()) {
-            close(CloseReason.RESPONSES_NOT_READ);
+            close(ClientCloseReason.RESPONSES_NOT_READ);
             return;
         }
         if (writeReadyResponses()) {
@@ -507,10 +507,10 @@
 
     /** Closes the connection now, even with unanswered requests. */
     public void closeImmediately() {
-        close(CloseReason.IDLE);
+        close(ClientCloseReason.IDLE);
     }
 
-    private void close(CloseReason reason) {
+    private void close(ClientCloseReason reason) {
         if (channel.isOpen()) {
             connections.logClose(channel, reason.text);
         }
@@ -544,7 +544,7 @@
             if (future.isSuccess()) {
                 ((DuplexChannel) channel).shutdownOutput();
             }
-            Runnable close = () -> close(CloseReason.CLOSED_AFTER_LAST_RESPONSE);
+            Runnable close = () -> close(ClientCloseReason.CLOSED_AFTER_LAST_RESPONSE);
             channel.eventLoop().schedule(close, LINGER_MS, TimeUnit.MILLISECONDS);
         });
         updateReading();
@@ -560,7 +560,7 @@
         if (unwrittenBytes > 0) {
             closeOutput();
         } else {
-            close(CloseReason.FRAMING_LOST);
+            close(ClientCloseReason.FRAMING_LOST);
         }
     }
 
@@ -571,7 +571,7 @@
                 if (unwrittenBytes < previouslyUnwrittenBytes) {
                     cutOffSlowReader(unwrittenBytes);
                 } else {
-                    close(CloseReason.READS_TOO_SLOWLY);
+                    close(ClientCloseReason.READS_TOO_SLOWLY);
                 }
             };
             channel.eventLoop().schedule(check, SLOW_READER_TIMEOUT_MS, TimeUnit.MILLISECONDS);
@@ -600,7 +600,7 @@
 
     private void closeOnError(Throwable cause) {
         if (channel.isOpen()) {
-            connections.logClose(channel, CloseReason.ERROR.text + ": " + cause);
+            connections.logClose(channel, ClientCloseReason.ERROR.text + ": " + cause);
         }
         channel.close();
     }
--- a/proxy/src/main/java/cacheproxy/discovery/DiscoveryClient.java
+++ b/proxy/src/main/java/cacheproxy/discovery/DiscoveryClient.java
@@ -61,7 +61,7 @@
     private int callsStarted;
     private final CallEvents callEvents = new CallEvents();
 
-    /** {@code config} has the service's address and the last known list; no call is made before {@link #begin}. */
+    /** {@code config} has the service's address and the last known list; no call is made before {@link #start}. */
     public DiscoveryClient(
             EndpointListListener listener,
             EventLoopClock clock,
@@ -97,14 +97,14 @@
     }
 
     /** The endpoint list of the configuration; to be handled before any other list, because it is older. */
-    public List<Endpoint> lastKnownEndpoints() {
+    public List<ListedEndpoint> lastKnownEndpoints() {
         return numbered(parser.entries(knownList));
     }
 
     /** Assigns the numbers. To be called only for accepted lists: numbers of rejected ones would never be released. */
-    private List<Endpoint> numbered(List<Endpoint> endpoints) {
-        for (Endpoint endpoint : endpoints) {
-            endpoint.node().id = endpointNumbers.numberOf(endpoint.name());
+    private List<ListedEndpoint> numbered(List<ListedEndpoint> endpoints) {
+        for (ListedEndpoint endpoint : endpoints) {
+            endpoint.info().id = endpointNumbers.numberOf(endpoint.name());
         }
         return endpoints;
     }
@@ -304,7 +304,7 @@
             if (call != watch && !fromSuccessor && !call.service().equals(service)) {
                 return; // from the service before the migration, whose versions are unrelated
             }
-            List<Endpoint> endpoints = parser.entries(list);
+            List<ListedEndpoint> endpoints = parser.entries(list);
             long received = EndpointListParser.version(list);
             boolean full = Boolean.TRUE.equals(list.get("full"));
             if (fromSuccessor) {
--- a/proxy/src/main/java/cacheproxy/discovery/EndpointListListener.java
+++ b/proxy/src/main/java/cacheproxy/discovery/EndpointListListener.java
@@ -11,7 +11,7 @@
      * @param kind {@code FULL} for all endpoints, {@code DELTA} for changes, {@code FAILED} for a failed call
      * @param endpoints in the order of the list, numbered; empty for a failed call
      */
-    void endpointsReceived(EndpointListKind kind, List<Endpoint> endpoints);
+    void endpointsReceived(EndpointListKind kind, List<ListedEndpoint> endpoints);
 
     /** The watch has sent data: every change that discovery had until now has been received. */
     void watchUpToDate();
--- a/proxy/src/main/java/cacheproxy/discovery/EndpointListParser.java
+++ b/proxy/src/main/java/cacheproxy/discovery/EndpointListParser.java
@@ -40,11 +40,11 @@
     }
 
     /** The entries of a parsed list, without numbers; throws {@link InvalidInputException} for a malformed entry. */
-    List<Endpoint> entries(Map<String, Object> list) {
+    List<ListedEndpoint> entries(Map<String, Object> list) {
         if (!(list.get("servers") instanceof List<?> servers)) {
             throw new InvalidInputException("servers is missing from the list");
         }
-        List<Endpoint> entries = new ArrayList<>(servers.size());
+        List<ListedEndpoint> entries = new ArrayList<>(servers.size());
         for (Object server : servers) {
             if (!(server instanceof Map<?, ?>)) {
                 throw new InvalidInputException("a list entry is not a JSON object");
@@ -56,7 +56,7 @@
         return entries;
     }
 
-    private Endpoint entry(Map<String, Object> fields) {
+    private ListedEndpoint entry(Map<String, Object> fields) {
         String entryDescription = "a list entry";
         String id = FieldReader.requireString(fields, "id", entryDescription);
         EndpointInfo info = new EndpointInfo();
@@ -76,7 +76,7 @@
                 ? null
                 : FieldReader.address(
                         FieldReader.requireString(fields, "addr", entryDescription), "addr in a list entry");
-        return new Endpoint(info, id, address);
+        return new ListedEndpoint(info, id, address);
     }
 
     private static double numberOrDefault(Map<String, Object> fields, String key, double defaultValue) {
--- a/proxy/src/main/java/cacheproxy/discovery/Endpoint.java
+++ b/proxy/src/main/java/cacheproxy/discovery/ListedEndpoint.java
@@ -6,8 +6,8 @@
 /**
  * One entry of an endpoint list.
  *
- * @param node the properties of the endpoint that the router uses; {@code node.id} is set once the list is accepted
+ * @param info the properties of the endpoint that the router uses; {@code info.id} is set once the list is accepted
  * @param name the id of the endpoint in discovery
  * @param address the address that the endpoint listens on; null if it is gone and the entry has no address
  */
-public record Endpoint(EndpointInfo node, String name, SocketAddress address) {}
+public record ListedEndpoint(EndpointInfo info, String name, SocketAddress address) {}
--- a/proxy/src/main/java/cacheproxy/server/EndpointList.java
+++ b/proxy/src/main/java/cacheproxy/server/EndpointList.java
@@ -2,7 +2,7 @@
 
 import cacheproxy.common.PrintableText;
 import cacheproxy.discovery.DiscoveryClient;
-import cacheproxy.discovery.Endpoint;
+import cacheproxy.discovery.ListedEndpoint;
 import cacheproxy.logging.Log;
 import cacheproxy.routing.EndpointInfo;
 import cacheproxy.routing.EndpointListKind;
@@ -38,14 +38,14 @@
     }
 
     /** Applies a received list; if it names an endpoint twice, the later entry counts. */
-    void update(EndpointListKind kind, List<Endpoint> received) {
-        Map<Integer, Endpoint> byNumber = new LinkedHashMap<>();
-        received.forEach(endpoint -> byNumber.put(endpoint.node().id, endpoint));
+    void update(EndpointListKind kind, List<ListedEndpoint> received) {
+        Map<Integer, ListedEndpoint> byNumber = new LinkedHashMap<>();
+        received.forEach(endpoint -> byNumber.put(endpoint.info().id, endpoint));
         List<String> changes = new ArrayList<>();
         EndpointInfo[] infos = new EndpointInfo[byNumber.size()];
         int infoCount = 0;
-        for (Endpoint endpoint : byNumber.values()) {
-            infos[infoCount++] = endpoint.node();
+        for (ListedEndpoint endpoint : byNumber.values()) {
+            infos[infoCount++] = endpoint.info();
             updateEndpoint(endpoint, changes);
         }
         router.endpointListReceived(kind, infos);
@@ -62,8 +62,8 @@
         logChanges(changes);
     }
 
-    private void updateEndpoint(Endpoint endpoint, List<String> changes) {
-        EndpointInfo info = endpoint.node();
+    private void updateEndpoint(ListedEndpoint endpoint, List<String> changes) {
+        EndpointInfo info = endpoint.info();
         recordChange(changes, info.id, endpoint.name(), info.state);
         if (info.state != EndpointState.GONE) {
             pools.put(info.id, endpoint.name(), endpoint.address(), info.startedUs);
@@ -82,10 +82,11 @@
     }
 
     private void drainOrRemove(int number, boolean removed) {
-        pools.leave(number, removed);
+        pools.drainOrRemove(number, removed);
         if (removed) {
             states.remove(number);
-            discovery.releaseNumber(number); // even if it was never listed, else discovery would keep its number forever
+            discovery.releaseNumber(
+                    number); // even if it was never listed, else discovery would keep its number forever
         }
     }
 
--- a/proxy/src/main/java/cacheproxy/server/JitWarmUp.java
+++ b/proxy/src/main/java/cacheproxy/server/JitWarmUp.java
@@ -2,7 +2,7 @@
 
 import cacheproxy.configuration.HostEnvironment;
 import cacheproxy.configuration.ProxyConfiguration;
-import cacheproxy.discovery.Endpoint;
+import cacheproxy.discovery.ListedEndpoint;
 import cacheproxy.logging.Log;
 import cacheproxy.memcache.RequestNames;
 import cacheproxy.routing.EndpointInfo;
@@ -144,11 +144,11 @@
         if (!hasUsableNames) {
             throw new IOException("no request class or no tenant has a name that a command can hold");
         }
-        List<Endpoint> endpoints = new ArrayList<>();
+        List<ListedEndpoint> endpoints = new ArrayList<>();
         for (int i = 0; i < ENDPOINTS; i++) {
             EndpointInfo endpointInfo = new EndpointInfo();
             endpointInfo.id = i;
-            endpoints.add(new Endpoint(endpointInfo, "warm-up-" + i, placeholderAddress));
+            endpoints.add(new ListedEndpoint(endpointInfo, "warm-up-" + i, placeholderAddress));
         }
         acceptInitializer = proxy.serveWarmUp(endpoints);
         for (int i = 0; i < CLIENTS; i++) {
--- a/proxy/src/main/java/cacheproxy/server/ProxyServer.java
+++ b/proxy/src/main/java/cacheproxy/server/ProxyServer.java
@@ -5,7 +5,7 @@
 import cacheproxy.configuration.HostEnvironment;
 import cacheproxy.configuration.ProxyConfiguration;
 import cacheproxy.discovery.DiscoveryClient;
-import cacheproxy.discovery.Endpoint;
+import cacheproxy.discovery.ListedEndpoint;
 import cacheproxy.discovery.EndpointListListener;
 import cacheproxy.eventloop.EventLoopClock;
 import cacheproxy.eventloop.FaultGuard;
@@ -97,7 +97,7 @@
         endpoints = new EndpointList(router, pools, discovery, log);
         listener = new ClientListener(clients, clock, configuration, loop, host);
         // before the router, which starts timers: if a malformed list prevents the start, nothing may be called
-        List<Endpoint> configuredEndpoints = discovery.lastKnownEndpoints();
+        List<ListedEndpoint> configuredEndpoints = discovery.lastKnownEndpoints();
         RoutingActions actions = new RouterActionHandler(exchanges, pools, discovery, router, clock, log);
         router.begin(wrap.apply(new FairRouter(settings, configuration.seed, clock.nowUs(), actions)), actions);
         // before any list from the watch, because the configuration's list is older
@@ -175,7 +175,7 @@
     }
 
     /** Starts serving with these endpoints, without listening and without discovery; for {@link JitWarmUp}. */
-    ChannelHandler serveWarmUp(List<Endpoint> warmUpEndpoints) {
+    ChannelHandler serveWarmUp(List<ListedEndpoint> warmUpEndpoints) {
         clock.start();
         endpointsReceived(EndpointListKind.FULL, warmUpEndpoints);
         return listener.clientInitializer();
@@ -221,7 +221,7 @@
     // ---- events of discovery ----
 
     @Override
-    public void endpointsReceived(EndpointListKind kind, List<Endpoint> received) {
+    public void endpointsReceived(EndpointListKind kind, List<ListedEndpoint> received) {
         endpoints.update(kind, received);
         if (!readiness.isReady()) {
             readiness.endpointsChanged(endpoints.canServe());
@@ -275,7 +275,7 @@
                 "value bytes coming from clients",
                 clients.incomingValueBytes(),
                 "response bytes coming from endpoints",
-                pools.comingBytes(),
+                pools.incomingBytes(),
                 "read-ahead bytes",
                 clients.readAheadBytes(),
                 "events",
--- a/proxy/src/main/java/cacheproxy/upstream/EndpointConnection.java
+++ b/proxy/src/main/java/cacheproxy/upstream/EndpointConnection.java
@@ -196,7 +196,7 @@
         connectTimer.cancel(false);
         if (pools.clock.nowUs() - connectStartedUs > pools.maxConnectUs) {
             dropUnsent(); // the event loop stalled: the endpoint may be draining by now
-            close(CloseReason.CONNECTED_TOO_LATE);
+            close(UpstreamCloseReason.CONNECTED_TOO_LATE);
             return;
         }
         connected = true;
@@ -233,12 +233,12 @@
         if (waitedUs < pools.connectTimeoutUs) {
             dropUnsent(); // the event loop's lateness used up the time, not the endpoint
         }
-        close(CloseReason.CONNECT_TIMEOUT);
+        close(UpstreamCloseReason.CONNECT_TIMEOUT);
     }
 
     void connectCompleted(ChannelFuture future) {
         if (!future.isSuccess()) {
-            closed(CloseReason.CONNECT_FAILED);
+            closed(UpstreamCloseReason.CONNECT_FAILED);
         }
     }
 
@@ -256,7 +256,7 @@
         if (!attempt.handedToChannel) {
             attempts.remove(attempt);
             if (attempts.isEmpty() && !connected) {
-                close(CloseReason.ATTEMPT_ABANDONED);
+                close(UpstreamCloseReason.ATTEMPT_ABANDONED);
             }
             return false;
         }
@@ -265,7 +265,7 @@
             return true;
         }
         boolean written = attempt.written;
-        close(CloseReason.ATTEMPT_ABANDONED);
+        close(UpstreamCloseReason.ATTEMPT_ABANDONED);
         return written;
     }
 
@@ -277,7 +277,7 @@
         }
         Attempt attempt = attempts.peek();
         if (attempt == null) {
-            close(CloseReason.UNEXPECTED_BYTES); // the rest could be taken for the response to the next request
+            close(UpstreamCloseReason.UNEXPECTED_BYTES); // the rest could be taken for the response to the next request
             return;
         }
         if (isDuplicateOfLast(response, attempt)) {
@@ -293,7 +293,7 @@
         if (response.hasNoOpaque() && idempotentOnly && !pools.hedging && completion != AttemptCompletion.MISS) {
             // may belong to another request: a retry while this attempt is still in flight would be a hedged request
             attempts.poll();
-            close(CloseReason.AMBIGUOUS_RESPONSE);
+            close(UpstreamCloseReason.AMBIGUOUS_RESPONSE);
             complete(attempt, completion, response);
             return;
         }
@@ -328,7 +328,7 @@
         becomingIdle = attempts.isEmpty();
         complete(attempt, completion, response);
         if (retired && attempts.stream().allMatch(Attempt::isCompleted)) {
-            close(CloseReason.RETIRED);
+            close(UpstreamCloseReason.RETIRED);
         }
     }
 
@@ -342,7 +342,7 @@
         if (becomingIdle && !closed) {
             becomingIdle = false;
             if (attempts.isEmpty() && (insideResponse || retired)) {
-                close(insideResponse ? CloseReason.UNEXPECTED_BYTES : CloseReason.RETIRED);
+                close(insideResponse ? UpstreamCloseReason.UNEXPECTED_BYTES : UpstreamCloseReason.RETIRED);
             } else if (attempts.isEmpty()) {
                 pool.becameIdle(this);
             }
@@ -381,7 +381,7 @@
         if (attempt != null) {
             complete(attempt, AttemptCompletion.MALFORMED, null);
         }
-        close(CloseReason.PROTOCOL_ERROR);
+        close(UpstreamCloseReason.PROTOCOL_ERROR);
     }
 
     /** If this connection is about to become idle, makes it close instead. */
@@ -398,7 +398,7 @@
 
     @Override
     public void channelInactive(ChannelHandlerContext ctx) {
-        closed(CloseReason.CLOSED_BY_PEER);
+        closed(UpstreamCloseReason.CLOSED_BY_PEER);
     }
 
     @Override
@@ -406,10 +406,10 @@
         if (!closed && pools.log.tracesRequests()) {
             pools.log.line(Log.Topic.REQUESTS, "connection to " + pool.name() + ": " + cause);
         }
-        close(CloseReason.ERROR);
+        close(UpstreamCloseReason.ERROR);
     }
 
-    void close(CloseReason reason) {
+    void close(UpstreamCloseReason reason) {
         if (!closed && channel != null) {
             channel.close();
         }
@@ -417,7 +417,7 @@
     }
 
     /** Completes the remaining attempts: possibly executed if written, otherwise never executed. */
-    private void closed(CloseReason reason) {
+    private void closed(UpstreamCloseReason reason) {
         if (closed) {
             return;
         }
--- a/proxy/src/main/java/cacheproxy/upstream/EndpointPool.java
+++ b/proxy/src/main/java/cacheproxy/upstream/EndpointPool.java
@@ -136,20 +136,22 @@
     /** Keeps a connection without attempts for reuse, or closes it. */
     void becameIdle(EndpointConnection connection) {
         if (drainingOrGone) {
-            connection.close(CloseReason.ENDPOINT_DRAINING_OR_GONE);
+            connection.close(UpstreamCloseReason.ENDPOINT_DRAINING_OR_GONE);
             return;
         }
         if (!connection.remoteAddress().equals(address)) {
-            connection.close(CloseReason.ADDRESS_CHANGED);
+            connection.close(UpstreamCloseReason.ADDRESS_CHANGED);
             return;
         }
         if (connection.isIdempotentOnly() && idempotentOnlyIdle.size() >= MAX_IDEMPOTENT_ONLY_IDLE) {
             // each busy response to a write leaves one behind; unbounded, they would use up the endpoint's connections
-            idempotentOnlyIdle.peekFirst().close(CloseReason.EVICTED);
+            idempotentOnlyIdle.peekFirst().close(UpstreamCloseReason.EVICTED);
         }
         (connection.isIdempotentOnly() ? idempotentOnlyIdle : idle).addLast(connection);
         // closed before the endpoint closes it: a request written at that moment would end with a reset
-        idleTimers.put(connection, pools.clock.schedule(pools.idleTimeoutUs, () -> connection.close(CloseReason.IDLE)));
+        idleTimers.put(
+                connection,
+                pools.clock.schedule(pools.idleTimeoutUs, () -> connection.close(UpstreamCloseReason.IDLE)));
     }
 
     private void cancelIdleTimer(EndpointConnection connection) {
@@ -200,7 +202,7 @@
 
     /** Closes all idle connections, and makes those that are about to become idle close instead. */
     public void closeIdle() {
-        while (closeOldestIdle(CloseReason.ENDPOINT_DRAINING_OR_GONE)) {
+        while (closeOldestIdle(UpstreamCloseReason.ENDPOINT_DRAINING_OR_GONE)) {
             // repeats until no connection is idle
         }
         connections.forEach(EndpointConnection::closeIfBecomingIdle);
@@ -210,13 +212,13 @@
     boolean closeOldestIdempotentOnly() {
         EndpointConnection connection = idempotentOnlyIdle.peekFirst();
         if (connection != null) {
-            connection.close(CloseReason.EVICTED);
+            connection.close(UpstreamCloseReason.EVICTED);
         }
         return connection != null;
     }
 
     /** Closes the oldest idle connection, first of those for idempotent requests; returns false if none is idle. */
-    boolean closeOldestIdle(CloseReason reason) {
+    boolean closeOldestIdle(UpstreamCloseReason reason) {
         EndpointConnection connection =
                 idempotentOnlyIdle.isEmpty() ? idle.peekFirst() : idempotentOnlyIdle.peekFirst();
         if (connection == null) {
--- a/proxy/src/main/java/cacheproxy/upstream/EndpointPools.java
+++ b/proxy/src/main/java/cacheproxy/upstream/EndpointPools.java
@@ -45,7 +45,7 @@
     private final EventLoop loop;
     private final Bootstrap bootstrap;
     private final Map<Integer, EndpointPool> poolsByNumber = new HashMap<>();
-    private final ByteBudget comingBytes = new ByteBudget(MAX_INCOMING_RESPONSE_BYTES);
+    private final ByteBudget incomingBytes = new ByteBudget(MAX_INCOMING_RESPONSE_BYTES);
     private int connections;
 
     /**
@@ -99,7 +99,7 @@
     }
 
     /** The endpoint is draining, or was removed from the list. */
-    public void leave(int endpoint, boolean removed) {
+    public void drainOrRemove(int endpoint, boolean removed) {
         EndpointPool pool = poolsByNumber.get(endpoint);
         if (pool != null) {
             pool.onDrainingOrGone();
@@ -115,8 +115,8 @@
     }
 
     /** The bytes reserved for responses that are being received. */
-    public long comingBytes() {
-        return comingBytes.reservedBytes();
+    public long incomingBytes() {
+        return incomingBytes.reservedBytes();
     }
 
     /** How many connections an endpoint may have before requests share them. */
@@ -136,7 +136,7 @@
             return null;
         }
         connections++;
-        MetaResponseDecoder decoder = new MetaResponseDecoder(comingBytes);
+        MetaResponseDecoder decoder = new MetaResponseDecoder(incomingBytes);
         EndpointConnection connection = new EndpointConnection(this, pool, pool.address(), decoder);
         pool.add(connection);
         bootstrap
@@ -158,7 +158,7 @@
 
     private boolean evictIdleConnection() {
         return poolsByNumber.values().stream().anyMatch(EndpointPool::closeOldestIdempotentOnly)
-                || poolsByNumber.values().stream().anyMatch(pool -> pool.closeOldestIdle(CloseReason.EVICTED));
+                || poolsByNumber.values().stream().anyMatch(pool -> pool.closeOldestIdle(UpstreamCloseReason.EVICTED));
     }
 
     void connectionClosed() {
--- a/proxy/src/main/java/cacheproxy/upstream/CloseReason.java
+++ b/proxy/src/main/java/cacheproxy/upstream/UpstreamCloseReason.java
@@ -1,7 +1,7 @@
 package cacheproxy.upstream;
 
 /** Why a connection to an endpoint was closed, for the log. */
-enum CloseReason {
+enum UpstreamCloseReason {
     IDLE("idle timeout"),
     ADDRESS_CHANGED("the endpoint's address changed"),
     ENDPOINT_DRAINING_OR_GONE("the endpoint is draining or gone, or its idle connections are no longer trusted"),
@@ -19,7 +19,7 @@
 
     final String text;
 
-    CloseReason(String text) {
+    UpstreamCloseReason(String text) {
         this.text = text;
     }
 }
