--- a/fleet/src/main/java/cacheproxy/fleet/Main.java
+++ b/fleet/src/main/java/cacheproxy/fleet/Main.java
@@ -36,7 +36,7 @@
         try {
             Agent.run(Path.of(folder.get(0)));
         } catch (InvalidInputException e) {
-            ends(e, ProxyProcess.code(e));
+            ends(e, ProxyProcess.exitCodeFor(e));
         }
     }
 
@@ -47,7 +47,7 @@
         try {
             MemberService.run(Path.of(folder.get(0)));
         } catch (InvalidInputException e) {
-            ends(e, ProxyProcess.code(e));
+            ends(e, ProxyProcess.exitCodeFor(e));
         } catch (IOException e) {
             ends(e, 2);
         }
@@ -64,7 +64,7 @@
                 DemoDiscovery.run(System.getenv(), arguments);
             }
         } catch (InvalidInputException e) {
-            ends(e, ProxyProcess.code(e));
+            ends(e, ProxyProcess.exitCodeFor(e));
         } catch (IOException e) {
             ends(e, 2);
         }
--- a/proxy/src/main/java/cacheproxy/eventloop/EventLoopClock.java
+++ b/proxy/src/main/java/cacheproxy/eventloop/EventLoopClock.java
@@ -27,7 +27,7 @@
     private static final long TIMER_JITTER_US = 5_000;
 
     private static final long MIN_LOGGED_STALL_US = 50_000;
-    /** The weight of one tick in the moving average of {@link #lateShare}. */
+    /** The weight of one tick in the moving average of {@link #lateFraction}. */
     private static final double LATE_SHARE_WEIGHT = 1.0 / 64;
 
     private final EventLoop eventLoop;
@@ -43,8 +43,8 @@
     private long lastTickUs;
 
     private long longestStallUs;
-    private long totalLateUs;
-    private double lateShare;
+    private long totalLatenessUs;
+    private double lateFraction;
 
     /**
      * @param unixMs the Unix time in milliseconds now
@@ -86,8 +86,8 @@
         long delayUs = nextTickUs == 0 ? 0 : nowUs - nextTickUs;
         longestStallUs = Math.max(longestStallUs, delayUs);
         long lateUs = delayUs > TIMER_JITTER_US ? delayUs : 0;
-        totalLateUs += lateUs;
-        lateShare += (lateUs / (double) (lateUs + TICK_US) - lateShare) * LATE_SHARE_WEIGHT;
+        totalLatenessUs += lateUs;
+        lateFraction += (lateUs / (double) (lateUs + TICK_US) - lateFraction) * LATE_SHARE_WEIGHT;
         if (delayUs > MIN_LOGGED_STALL_US) {
             log.line("event loop stalled for " + delayUs / 1000 + " ms");
         }
@@ -118,14 +118,14 @@
      * The sum of all lateness until {@code nowUs}, in microseconds. Its growth during a wait is to be subtracted from
      * the wait: nothing was read meanwhile, and the peer may have responded in time.
      */
-    public long totalLateUs(long nowUs) {
+    public long totalLatenessUs(long nowUs) {
         long overdueUs = nextTickUs == 0 ? 0 : nowUs - nextTickUs;
-        return totalLateUs + (overdueUs > TIMER_JITTER_US ? overdueUs : 0);
+        return totalLatenessUs + (overdueUs > TIMER_JITTER_US ? overdueUs : 0);
     }
 
     /** The fraction of recent time, from 0 to 1, that the loop was late: a moving average over the ticks. */
-    public double lateShare() {
-        return lateShare;
+    public double lateFraction() {
+        return lateFraction;
     }
 
     /** The longest delay of a tick so far, in microseconds. */
--- a/proxy/src/main/java/cacheproxy/routing/FairRouter.java
+++ b/proxy/src/main/java/cacheproxy/routing/FairRouter.java
@@ -110,7 +110,7 @@
     private void rejectOnArrival(
             RoutingRequest request, int tenant, RequestClass requestClass, long nowUs, RoutingActions actions) {
         log(nowUs, "refusing requests", actions);
-        actions.explain(request.id, RejectionReason.TENANT_THROTTLED);
+        actions.reportRejectionReason(request.id, RejectionReason.TENANT_THROTTLED);
         if (request.clientRetry && !requestClass.isDeduplicatedUntilDeadline(settings)) {
             // an earlier request may have been executed, and endpoints may no longer discard a repeat of it
             actions.fail(request.id);
@@ -139,7 +139,7 @@
         long remainingUs = giveUpAtUs - nowUs;
         RejectionReason reason = reasonNotToSend(pending, endpoint, remainingUs);
         if (reason != null) {
-            actions.explain(pending.id, reason);
+            actions.reportRejectionReason(pending.id, reason);
             if (pending.inFlight == 0) {
                 finish(pending, nowUs, actions);
             }
@@ -174,7 +174,7 @@
     private void sendToOrigin(PendingRequest pending, long nowUs, RoutingActions actions) {
         Endpoint endpoint = null;
         if (origin.rejects(pending, nowUs)) {
-            actions.explain(pending.id, RejectionReason.ORIGIN_OVERLOADED);
+            actions.reportRejectionReason(pending.id, RejectionReason.ORIGIN_OVERLOADED);
         } else {
             endpoint = selector.selectOrigin();
         }
@@ -195,9 +195,9 @@
         }
         if (endpoint == null || !retryPolicy.maySend(pending, endpoint, nowUs)) {
             if (!retryBudget.covers(price)) {
-                actions.explain(pending.id, RejectionReason.RETRY_BUDGET_EXHAUSTED);
+                actions.reportRejectionReason(pending.id, RejectionReason.RETRY_BUDGET_EXHAUSTED);
             } else if (endpoint != null) {
-                actions.explain(pending.id, RejectionReason.NOT_IDEMPOTENT);
+                actions.reportRejectionReason(pending.id, RejectionReason.NOT_IDEMPOTENT);
             }
             send(pending, null, nowUs, actions);
             return;
--- a/proxy/src/main/java/cacheproxy/routing/RoutingActions.java
+++ b/proxy/src/main/java/cacheproxy/routing/RoutingActions.java
@@ -6,7 +6,7 @@
     int ALL_PROXIES = 0xffff;
 
     /** Called just before a final response that no endpoint sent, or instead of a retry; for logging only. */
-    default void explain(long request, RejectionReason reason) {
+    default void reportRejectionReason(long request, RejectionReason reason) {
         // logging is optional
     }
 
--- a/proxy/src/main/java/cacheproxy/server/EmbeddedProxy.java
+++ b/proxy/src/main/java/cacheproxy/server/EmbeddedProxy.java
@@ -51,7 +51,7 @@
     }
 
     /** Starts the proxy; completes once it listens. */
-    public Future<Void> begin() {
+    public Future<Void> start() {
         return proxy.begin();
     }
 
@@ -61,7 +61,7 @@
     }
 
     /** Shuts down as on SIGTERM; completes once all requests are answered and all client connections are closed. */
-    public Future<Void> end() {
+    public Future<Void> shutDown() {
         return proxy.drain(ProxyProcess.DRAIN_OPEN_MS);
     }
 
--- a/proxy/src/main/java/cacheproxy/server/ProxyProcess.java
+++ b/proxy/src/main/java/cacheproxy/server/ProxyProcess.java
@@ -58,7 +58,7 @@
             start(env, signals);
         } catch (InvalidInputException e) {
             writer.accept("cacheproxy: " + e.getMessage());
-            exit(code(e));
+            exit(exitCodeFor(e));
         } catch (RuntimeException | Error e) {
             // exit explicitly: the event loop's thread would keep the process running
             writer.accept("cacheproxy: cannot start: " + e);
@@ -67,7 +67,7 @@
     }
 
     /** The exit code of a process that could not start because of this exception. */
-    public static int code(InvalidInputException cause) {
+    public static int exitCodeFor(InvalidInputException cause) {
         return cause instanceof InstanceLock.HeldException ? InstanceLock.EXIT_CODE_HELD : 2;
     }
 
--- a/proxy/src/main/java/cacheproxy/server/RequestExchanges.java
+++ b/proxy/src/main/java/cacheproxy/server/RequestExchanges.java
@@ -257,7 +257,7 @@
         long now = clock.nowUs();
         long remainingUs = exchange.dueUs - now;
         long waitUs = timeoutUs != 0 ? Math.min(timeoutUs, remainingUs) : remainingUs;
-        Attempt attempt = new Attempt(exchange, exchange.attempts.size(), now, waitUs, clock.totalLateUs(now));
+        Attempt attempt = new Attempt(exchange, exchange.attempts.size(), now, waitUs, clock.totalLatenessUs(now));
         exchange.attempts.add(attempt);
         exchange.attemptsInFlight++;
         trace(
@@ -335,7 +335,7 @@
 
     private boolean loopRanLateDuring(Attempt attempt, long now) {
         return FailureAttribution.eventLoopRanLate(
-                clock.totalLateUs(now) - attempt.loopLateAtStartUs(), attempt.timeoutUs(), clock.lateShare());
+                clock.totalLatenessUs(now) - attempt.loopLateAtStartUs(), attempt.timeoutUs(), clock.lateFraction());
     }
 
     /** The first successful attempt provides the response; the router is notified of every completion. */
@@ -397,9 +397,9 @@
                 now - attempt.startedUs(),
                 attempt.timeoutUs(),
                 latencyObjectiveUs,
-                clock.totalLateUs(now) - attempt.loopLateAtStartUs(),
+                clock.totalLatenessUs(now) - attempt.loopLateAtStartUs(),
                 EventLoopClock.TICK_US,
-                clock.lateShare())) {
+                clock.lateFraction())) {
             return AttemptCompletion.LOOP_STALLED;
         }
         boolean unmeetable = command.waitMs() != MetaCommand.WAIT_NOT_STATED
--- a/proxy/src/main/java/cacheproxy/server/RouterActionHandler.java
+++ b/proxy/src/main/java/cacheproxy/server/RouterActionHandler.java
@@ -48,7 +48,7 @@
     }
 
     @Override
-    public void explain(long id, RejectionReason reason) {
+    public void reportRejectionReason(long id, RejectionReason reason) {
         exchanges.explain(id, reason);
     }
 
--- a/proxy/src/main/java/cacheproxy/upstream/EndpointConnection.java
+++ b/proxy/src/main/java/cacheproxy/upstream/EndpointConnection.java
@@ -61,7 +61,7 @@
         this.remoteAddress = remoteAddress;
         this.decoder = decoder;
         connectStartedUs = pools.clock.nowUs();
-        loopLateAtConnectUs = pools.clock.totalLateUs(connectStartedUs);
+        loopLateAtConnectUs = pools.clock.totalLatenessUs(connectStartedUs);
     }
 
     @Override
@@ -225,7 +225,7 @@
         }
         long nowUs = pools.clock.nowUs();
         long elapsedUs = nowUs - connectStartedUs;
-        long waitedUs = elapsedUs - (pools.clock.totalLateUs(nowUs) - loopLateAtConnectUs);
+        long waitedUs = elapsedUs - (pools.clock.totalLatenessUs(nowUs) - loopLateAtConnectUs);
         if (waitedUs < pools.connectTimeoutUs && elapsedUs < pools.maxConnectUs) {
             connectTimer = pools.clock.schedule(pools.connectTimeoutUs - waitedUs, this::connectTimedOut);
             return;
