--- a/proxy/src/main/java/cacheproxy/memcache/MetaCommandDecoder.java
+++ b/proxy/src/main/java/cacheproxy/memcache/MetaCommandDecoder.java
@@ -13,7 +13,6 @@
     /** The error in the line of a write, reported after its value was received; null if there was none. */
     private String pendingError;
 
-
     /** {@code budget}: shared by the values that are being received from all clients. */
     public MetaCommandDecoder(RequestNames names, ByteBudget budget) {
         super(MAX_VALUE_BYTES, budget);
--- a/proxy/src/main/java/cacheproxy/upstream/DeadlineWrite.java
+++ b/proxy/src/main/java/cacheproxy/upstream/DeadlineWrite.java
@@ -13,8 +13,8 @@
  * deduplication window, and the request would be executed twice. This class checks the deadline before each write and
  * fails the write once it has passed, which closes the connection before the request is complete.
  *
- * <p>Implemented as a {@link FileRegion} because Netty calls its {@code transferTo} for each write. Owns the buffer
- * and releases it when it is released itself.
+ * <p>Implemented as a {@link FileRegion} because Netty calls its {@code transferTo} for each write. Owns the buffer and
+ * releases it when it is released itself.
  */
 final class DeadlineWrite extends AbstractReferenceCounted implements FileRegion {
     private final ByteBuf bytes;
--- a/proxy/src/test/java/cacheproxy/limits/DeficitRoundRobinTest.java
+++ b/proxy/src/test/java/cacheproxy/limits/DeficitRoundRobinTest.java
@@ -56,8 +56,10 @@
                 scheduler.enqueue(flow, flow.state);
                 scheduler.onWorkArrived(flow.state);
             }
-            double maxServed = flows.stream().mapToDouble(other -> other.servedWork).max().orElseThrow();
-            double minServed = flows.stream().mapToDouble(other -> other.servedWork).min().orElseThrow();
+            double maxServed =
+                    flows.stream().mapToDouble(other -> other.servedWork).max().orElseThrow();
+            double minServed =
+                    flows.stream().mapToDouble(other -> other.servedWork).min().orElseThrow();
             assertTrue(
                     maxServed - minServed <= 2 * (QUANTUM + MAX_COST),
                     "seed " + seed + ", step " + step + ": " + maxServed + " and " + minServed);
--- a/proxy/src/test/java/cacheproxy/server/LeavingCrossingTest.java
+++ b/proxy/src/test/java/cacheproxy/server/LeavingCrossingTest.java
@@ -46,10 +46,8 @@
                 assertEquals("Oa1", CommandArrivals.readCommandId(node));
                 if (rejectIncompleteCommand) {
                     fixture.loop
-                            .submit(() -> fixture.proxy
-                                    .clients
-                                    .all()
-                                    .forEach(s -> s.failConnection("CLIENT_ERROR no end")))
+                            .submit(() ->
+                                    fixture.proxy.clients.all().forEach(s -> s.failConnection("CLIENT_ERROR no end")))
                             .get();
                 }
                 disconnect.apply(client);
@@ -103,7 +101,9 @@
                             client.send(commands.toString());
                         }
                         disconnect.apply(client);
-                        while (fixture.loop.submit(() -> fixture.proxy.clients.count() != 0).get()) {
+                        while (fixture.loop
+                                .submit(() -> fixture.proxy.clients.count() != 0)
+                                .get()) {
                             Thread.onSpinWait();
                         }
                         Peer other = fixture.client();
@@ -139,12 +139,16 @@
                         Thread.onSpinWait(); // the client has been gone for longer than the loop may be late
                     }
                 }
-                while (fixture.loop.submit(() -> fixture.proxy.clients.count() != 0).get()) {
+                while (fixture.loop
+                        .submit(() -> fixture.proxy.clients.count() != 0)
+                        .get()) {
                     Thread.onSpinWait();
                 }
                 Peer other = fixture.client();
                 other.send(ProxyFixture.readCommand("b1", LONG_DEADLINE_MS));
-                assertEquals("Ob1", CommandArrivals.readCommandId(fixture.nodes.get(0).next()));
+                assertEquals(
+                        "Ob1",
+                        CommandArrivals.readCommandId(fixture.nodes.get(0).next()));
             }
         }
     }
@@ -179,7 +183,8 @@
                     node = fixture.nodes.get(0).poll()) {
                 assertEquals(null, node.line(), "forwarded after its client disconnected");
             }
-            while (fixture.loop.submit(() -> fixture.proxy.reserved().values().stream().anyMatch(held -> held != 0))
+            while (fixture.loop
+                    .submit(() -> fixture.proxy.reserved().values().stream().anyMatch(held -> held != 0))
                     .get()) {
                 Thread.onSpinWait(); // until all reservations are released
             }
@@ -213,7 +218,8 @@
                 for (String id : List.of("Oa0", "Oa1")) {
                     connectionsById.get(id).send("VA 1 " + id + "\r\n1\r\n");
                 }
-                while (fixture.loop.submit(() -> fixture.proxy.reserved().values().stream().anyMatch(held -> held != 0))
+                while (fixture.loop
+                        .submit(() -> fixture.proxy.reserved().values().stream().anyMatch(held -> held != 0))
                         .get()) {
                     Thread.onSpinWait(); // until all reservations are released
                 }
@@ -339,14 +345,17 @@
                 inner -> closingRouter(inner, fixtureReference))) {
             fixtureReference.set(fixture);
             Peer first = fixture.client();
-            first.send(ProxyFixture.readCommand("r1", LONG_DEADLINE_MS) + ProxyFixture.readCommand("r2", LONG_DEADLINE_MS));
-            List<Peer> nodes = List.of(fixture.nodes.get(0).next(), fixture.nodes.get(0).next());
+            first.send(ProxyFixture.readCommand("r1", LONG_DEADLINE_MS)
+                    + ProxyFixture.readCommand("r2", LONG_DEADLINE_MS));
+            List<Peer> nodes =
+                    List.of(fixture.nodes.get(0).next(), fixture.nodes.get(0).next());
             for (Peer node : nodes) {
                 node.send("VA 1 " + CommandArrivals.readCommandId(node) + "\r\n1\r\n");
             }
             first.expect("VA 1 Or1", "1", "VA 1 Or2", "1"); // two connections to the node are idle
             Peer client = fixture.client();
-            client.send(ProxyFixture.readCommand("a1", LONG_DEADLINE_MS).replace("d=", RequestBlockingRouter.BLOCKED_REQUEST_FIELD + "d=")
+            client.send(ProxyFixture.readCommand("a1", LONG_DEADLINE_MS)
+                            .replace("d=", RequestBlockingRouter.BLOCKED_REQUEST_FIELD + "d=")
                     + ProxyFixture.readCommand("a2", LONG_DEADLINE_MS));
             client.expectEnd();
             Peer last = fixture.client();
@@ -354,7 +363,9 @@
             CommandArrivals arrivals = new CommandArrivals(fixture);
             Peer connection = arrivals.nextAtNodeOrClient(null, nodes.get(0));
             List<String> receivedIds = new ArrayList<>();
-            for (String id = CommandArrivals.readCommandId(connection); !id.equals("Ob1"); id = CommandArrivals.readCommandId(connection)) {
+            for (String id = CommandArrivals.readCommandId(connection);
+                    !id.equals("Ob1");
+                    id = CommandArrivals.readCommandId(connection)) {
                 receivedIds.add(id);
                 connection.expectEnd(); // the attempt was cancelled because its client disconnected
                 connection.close();
@@ -364,7 +375,10 @@
         }
     }
 
-    /** A router that closes all client connections when it receives a request of {@link HeldRequest#SIZE}. */
+    /**
+     * A router that closes all client connections when it receives a request of
+     * {@link RequestBlockingRouter#BLOCKED_REQUEST_FIELD}.
+     */
     private static RequestRouter closingRouter(RequestRouter inner, AtomicReference<ProxyFixture> fixtureReference) {
         return (RequestRouter) java.lang.reflect.Proxy.newProxyInstance(
                 LeavingCrossingTest.class.getClassLoader(),
