--- a/fleet/src/main/java/cacheproxy/fleet/Main.java
+++ b/fleet/src/main/java/cacheproxy/fleet/Main.java
@@ -36,7 +36,7 @@
         try {
             Agent.run(Path.of(folder.get(0)));
         } catch (InvalidInputException e) {
-            fail(e, ProxyProcess.code(e));
+            fail(e, ProxyProcess.exitCodeFor(e));
         }
     }
 
@@ -47,7 +47,7 @@
         try {
             MemberService.run(Path.of(folder.get(0)));
         } catch (InvalidInputException e) {
-            fail(e, ProxyProcess.code(e));
+            fail(e, ProxyProcess.exitCodeFor(e));
         } catch (IOException e) {
             fail(e, 2);
         }
@@ -64,7 +64,7 @@
                 DemoDiscovery.run(System.getenv(), arguments);
             }
         } catch (InvalidInputException e) {
-            fail(e, ProxyProcess.code(e));
+            fail(e, ProxyProcess.exitCodeFor(e));
         } catch (IOException e) {
             fail(e, 2);
         }
--- a/proxy/src/main/java/cacheproxy/discovery/EndpointListListener.java
+++ b/proxy/src/main/java/cacheproxy/discovery/EndpointListListener.java
@@ -11,10 +11,10 @@
      * @param kind {@code FULL} for all endpoints, {@code DELTA} for changes, {@code FAILED} for a failed call
      * @param endpoints in the order of the list, numbered; empty for a failed call
      */
-    void endpointsReceived(EndpointListKind kind, List<Endpoint> endpoints);
+    void endpointsReceived(EndpointListKind kind, List<ListedEndpoint> endpoints);
 
     /** The watch has sent data: every change that discovery had until now has been received. */
-    void watchHeard();
+    void watchUpToDate();
 
     /** Several consecutive connections to discovery have failed: changes cannot be received for now. */
     void discoveryUnreachable();
--- a/proxy/src/main/java/cacheproxy/server/ProxyServer.java
+++ b/proxy/src/main/java/cacheproxy/server/ProxyServer.java
@@ -5,8 +5,8 @@
 import cacheproxy.configuration.HostEnvironment;
 import cacheproxy.configuration.ProxyConfiguration;
 import cacheproxy.discovery.DiscoveryClient;
-import cacheproxy.discovery.Endpoint;
 import cacheproxy.discovery.EndpointListListener;
+import cacheproxy.discovery.ListedEndpoint;
 import cacheproxy.eventloop.EventLoopClock;
 import cacheproxy.eventloop.FaultGuard;
 import cacheproxy.logging.Log;
@@ -79,9 +79,9 @@
         readiness = new ReadinessGate(log);
         router = new RouterDispatcher(settings, clock, faults);
         exchanges = new RequestExchanges(settings, clock, log, router, readiness, counters);
-        int descriptors = configuration.sockets - OWN_DESCRIPTORS;
+        int descriptors = configuration.maxFileDescriptors - OWN_DESCRIPTORS;
         int maxClients = descriptors / 2;
-        int maxEstablishedClients = configuration.sockets / ESTABLISHED_CLIENTS_DIVISOR;
+        int maxEstablishedClients = configuration.maxFileDescriptors / ESTABLISHED_CLIENTS_DIVISOR;
         clients =
                 new ClientConnections(clock, log, requestNames(settings), exchanges, maxClients, maxEstablishedClients);
         pools = new EndpointPools(
@@ -92,12 +92,12 @@
                 log,
                 exchanges,
                 descriptors - maxClients - ClientConnections.MAX_REJECTING,
-                configuration.nodeConnections);
+                configuration.maxConnectionsPerEndpoint);
         discovery = new DiscoveryClient(this, clock, configuration, loop, host, log);
         endpoints = new EndpointList(router, pools, discovery, log);
         listener = new ClientListener(clients, clock, configuration, loop, host);
         // before the router, which starts timers: if a malformed list prevents the start, nothing may be called
-        List<Endpoint> configuredEndpoints = discovery.known();
+        List<ListedEndpoint> configuredEndpoints = discovery.lastKnownEndpoints();
         RoutingActions actions = new RouterActionHandler(exchanges, pools, discovery, router, clock, log);
         router.begin(wrap.apply(new FairRouter(settings, configuration.seed, clock.nowUs(), actions)), actions);
         // before any list from the watch, because the configuration's list is older
@@ -161,7 +161,7 @@
 
     /** Applies the discovery address of a valid new configuration; may be called on any thread. */
     void reload(ProxyConfiguration changed) {
-        loop.execute(() -> discovery.move(changed.discovery));
+        loop.execute(() -> discovery.migrateTo(changed.discovery));
     }
 
     // ---- life cycle, on the event loop ----
@@ -170,12 +170,12 @@
     Future<Void> begin() {
         clock.start();
         readiness.start();
-        discovery.begin();
+        discovery.start();
         return listener.open();
     }
 
     /** Starts serving with these endpoints, without listening and without discovery; for {@link JitWarmUp}. */
-    ChannelHandler serveWarmUp(List<Endpoint> warmUpEndpoints) {
+    ChannelHandler serveWarmUp(List<ListedEndpoint> warmUpEndpoints) {
         clock.start();
         endpointsReceived(EndpointListKind.FULL, warmUpEndpoints);
         return listener.clientInitializer();
@@ -221,7 +221,7 @@
     // ---- events of discovery ----
 
     @Override
-    public void endpointsReceived(EndpointListKind kind, List<Endpoint> received) {
+    public void endpointsReceived(EndpointListKind kind, List<ListedEndpoint> received) {
         endpoints.update(kind, received);
         if (!readiness.isReady()) {
             readiness.endpointsChanged(endpoints.canServe());
@@ -229,7 +229,7 @@
     }
 
     @Override
-    public void watchHeard() {
+    public void watchUpToDate() {
         if (!readiness.isReady()) {
             readiness.stopWaiting(ReadinessGate.Cause.LIST_RECEIVED, endpoints.canServe());
         }
@@ -275,7 +275,7 @@
                 "value bytes coming from clients",
                 clients.incomingValueBytes(),
                 "response bytes coming from endpoints",
-                pools.comingBytes(),
+                pools.incomingBytes(),
                 "read-ahead bytes",
                 clients.readAheadBytes(),
                 "events",
