--- a/lab/src/main/java/cacheproxy/lab/scenario/SimulatedSite.java
+++ b/lab/src/main/java/cacheproxy/lab/scenario/SimulatedSite.java
@@ -227,7 +227,7 @@
                     new EmbeddedProxy.Host(m.loop(), m.outgoing(), m.listening(), m.unixMs()),
                     line -> said(proxySlot, line),
                     wrap);
-            proxySlot.process.start().addListener(f -> {
+            proxySlot.process.begin().addListener(f -> {
                 if (incarnation == proxySlot.incarnation && f.isSuccess()) {
                     proxySlot.takesNewConnections(true);
                 } else if (!f.isSuccess()) {
@@ -304,7 +304,7 @@
         // the load balancer notices later
         scheduler.after(300 * MS, () -> proxySlot.takesNewConnections(false));
         proxySlot.machine.loop().execute(() -> {
-            Future<Void> drained = process.shutDown();
+            Future<Void> drained = process.end();
             drained.addListener(f -> scheduler.after(0, () -> ended(proxySlot, incarnation)));
         });
         scheduler.after(TERM_TO_KILL_NS, () -> ended(proxySlot, incarnation));
--- a/lab/src/test/java/cacheproxy/lab/process/LoopbackSite.java
+++ b/lab/src/test/java/cacheproxy/lab/process/LoopbackSite.java
@@ -206,7 +206,7 @@
                             line -> said(proxySlot, line),
                             UnaryOperator.<RequestRouter>identity()))
                     .get();
-            proxySlot.loop().submit(proxySlot.process::start).get().get(LIMIT_MS, TimeUnit.MILLISECONDS);
+            proxySlot.loop().submit(proxySlot.process::begin).get().get(LIMIT_MS, TimeUnit.MILLISECONDS);
         } catch (ExecutionException e) {
             throw new AssertionError(proxySlot.name() + " does not start", e.getCause());
         } catch (InterruptedException | java.util.concurrent.TimeoutException e) {
@@ -239,7 +239,7 @@
                 .loop()
                 .execute(() -> proxySlot
                         .process
-                        .shutDown()
+                        .end()
                         .addListener(f -> net.after(0, () -> {
                             proxySlot.drained = true;
                             stop(proxySlot);
--- a/proxy/src/main/java/cacheproxy/server/EmbeddedProxy.java
+++ b/proxy/src/main/java/cacheproxy/server/EmbeddedProxy.java
@@ -51,7 +51,7 @@
     }
 
     /** Starts the proxy; completes once it listens. */
-    public Future<Void> start() {
+    public Future<Void> begin() {
         return proxy.begin();
     }
 
@@ -61,7 +61,7 @@
     }
 
     /** Shuts down as on SIGTERM; completes once all requests are answered and all client connections are closed. */
-    public Future<Void> shutDown() {
+    public Future<Void> end() {
         return proxy.drain(ProxyProcess.DRAIN_OPEN_MS);
     }
 
