--- a/fleet/src/main/java/cacheproxy/agent/Agent.java
+++ b/fleet/src/main/java/cacheproxy/agent/Agent.java
@@ -117,8 +117,9 @@
     }
 
     /**
-     * Runs an agent until SIGTERM or SIGINT; instances keep running. If the agent was started with SIGINT ignored, as
-     * for a background job of a script, SIGINT stays ignored. Throws {@link InvalidInputException} if it cannot start.
+     * Starts an agent, which runs until SIGTERM or SIGINT; instances keep running. If the agent was started with SIGINT
+     * ignored, as for a background job of a script, SIGINT stays ignored. Throws {@link InvalidInputException} if it
+     * cannot start.
      */
     public static void run(Path folder) {
         try {
--- a/fleet/src/main/java/cacheproxy/agent/InstanceClient.java
+++ b/fleet/src/main/java/cacheproxy/agent/InstanceClient.java
@@ -79,7 +79,10 @@
         }
     }
 
-    /** Connects as a client. Returns why the greeting is not answered as expected; empty if it is. */
+    /**
+     * Connects as a client and sends the greeting, the no-op {@code mn}. Returns why the response is not {@code MN};
+     * empty if it is.
+     */
     String greetingFailure(InetSocketAddress address) {
         try (Socket socket = new Socket()) {
             socket.setSoTimeout(REQUEST_TIMEOUT_MS);
--- a/fleet/src/main/java/cacheproxy/agent/Journal.java
+++ b/fleet/src/main/java/cacheproxy/agent/Journal.java
@@ -283,7 +283,7 @@
                         text(fields, "launch"),
                         fields.containsKey("forkMs")
                                 ? number(fields, "forkMs")
-                                : SupervisionPolicy.USUAL.forkMs()); // absent in journals of older versions
+                                : SupervisionPolicy.DEFAULT.forkMs()); // absent in journals of older versions
             } else if (fields.get("spawned") instanceof String name) {
                 UniqueProcessId identity = new UniqueProcessId(
                         ((Number) fields.get("pid")).longValue(),
--- a/fleet/src/main/java/cacheproxy/agent/Launcher.java
+++ b/fleet/src/main/java/cacheproxy/agent/Launcher.java
@@ -13,9 +13,9 @@
 import java.util.function.IntConsumer;
 
 /**
- * Starts the processes of instances. Each process runs in its own session, so that neither Ctrl-C nor the end of the
- * agent's session or process group affects it. Its output goes to a file, and it inherits only the environment
- * variables it needs.
+ * Starts the processes of instances. Each process runs in its own session if setsid is available, so that neither
+ * Ctrl-C nor the end of the agent's session or process group affects it. Its output goes to a file, and it inherits
+ * only the environment variables it needs.
  */
 final class Launcher {
     /** Environment variable that identifies the process of a start until its pid is in the journal. */
--- a/fleet/src/main/java/cacheproxy/cli/LocalAgent.java
+++ b/fleet/src/main/java/cacheproxy/cli/LocalAgent.java
@@ -80,7 +80,7 @@
         }
     }
 
-    /** Ends the agent and waits for its process. Its instances keep running, so stop them first. */
+    /** Ends the agent and waits for its process, for at most 10 s. Its instances keep running, so stop them first. */
     static void end(AgentClient agent) throws InterruptedException {
         Map<String, Object> reply = agent.call(AgentOperation.END);
         long pid = ReplyFields.number(agent, reply, "pid");
--- a/fleet/src/main/java/cacheproxy/cli/TerminalText.java
+++ b/fleet/src/main/java/cacheproxy/cli/TerminalText.java
@@ -3,8 +3,8 @@
 import java.util.regex.Pattern;
 
 /**
- * Sanitizes untrusted text for a terminal: removes characters that move the cursor, set colours or reverse text
- * direction.
+ * Sanitizes untrusted text for a terminal: replaces by '?' (in JSON: escapes) characters that move the cursor, set
+ * colours or reverse text direction.
  */
 final class TerminalText {
     private static final int MAX_SHOWN_CHARS = 80;
--- a/fleet/src/main/java/cacheproxy/site/SiteFile.java
+++ b/fleet/src/main/java/cacheproxy/site/SiteFile.java
@@ -89,7 +89,7 @@
             throw new InvalidInputException("version: 1 is the only one known, not " + json.get("version"));
         }
         SiteFile site = new SiteFile(text(json, "name", "", null));
-        SupervisionPolicy policy = policy(json.get("policy"), "policy", SupervisionPolicy.USUAL);
+        SupervisionPolicy policy = policy(json.get("policy"), "policy", SupervisionPolicy.DEFAULT);
         if (!(json.get("instances") instanceof List<?> groups)) {
             throw new InvalidInputException("instances: a list is needed");
         }
--- a/fleet/src/main/java/cacheproxy/supervise/ConfigurationReloads.java
+++ b/fleet/src/main/java/cacheproxy/supervise/ConfigurationReloads.java
@@ -30,7 +30,10 @@
                 || !instance.configurationDigest.equals(declared) && !instance.refusedDigest.equals(declared);
     }
 
-    /** Requests a reload, even if the configuration has not changed. Returns why it cannot; null if requested. */
+    /**
+     * Requests a reload, even if the configuration has not changed. Returns why the reload cannot be requested; null if
+     * it was.
+     */
     String reload(long now, String name) {
         Instance instance = instances.get(name);
         if (instance == null || instance.desired == DesiredState.REMOVED) {
--- a/fleet/src/main/java/cacheproxy/supervise/Instance.java
+++ b/fleet/src/main/java/cacheproxy/supervise/Instance.java
@@ -19,15 +19,18 @@
     /** Number of the last start; never decreases. */
     int lastStart;
 
-    /** Secret of the last start; this and the next two fields describe that start. */
+    /** Secret of the last start; this and the next three fields describe that start. */
     String secret = "";
 
     /** Launch digest that the process was started with. */
     String launchDigest = "";
     /** The process; null while it is not known. */
     UniqueProcessId identity;
-    /** If the process of the last start does not exist this long after its announcement, it never will. */
-    long forkMs = SupervisionPolicy.USUAL.forkMs();
+    /**
+     * If the process of the last start does not exist this long after its announcement, it is assumed never to be
+     * created.
+     */
+    long forkMs = SupervisionPolicy.DEFAULT.forkMs();
     /**
      * Earlier starts whose process was not observed to end, oldest first: one of these processes may still run and hold
      * the name lock.
@@ -42,8 +45,8 @@
     int startsWithNameHeld;
 
     /**
-     * The supervisor is searching for the process of a start by an earlier agent. Until the search ends, the process
-     * may still appear.
+     * The supervisor is searching for the process of a start by an earlier agent, or for the holder of the name lock
+     * ({@link #nameHeld}). Until the search ends, the process may still appear.
      */
     boolean searching;
 
@@ -114,7 +117,7 @@
 
     /** The declared policy; the default policy while the instance is not declared. */
     SupervisionPolicy policy() {
-        return spec == null ? SupervisionPolicy.USUAL : spec.policy();
+        return spec == null ? SupervisionPolicy.DEFAULT : spec.policy();
     }
 
     /** The fault, formatted to end a sentence; empty if there is none. */
--- a/fleet/src/main/java/cacheproxy/supervise/InstanceState.java
+++ b/fleet/src/main/java/cacheproxy/supervise/InstanceState.java
@@ -14,7 +14,9 @@
     UNREADY,
     /** A reload of the configuration was requested. */
     RELOADING,
-    /** The process was asked to stop and reports the progress of its drain. */
+    /**
+     * Not entered at present: a process that was asked to stop is {@link #STOPPING} until it ends or is {@link #HUNG}.
+     */
     DRAINING,
     /** SIGTERM was sent to the process. */
     STOPPING,
@@ -28,7 +30,10 @@
     BACKING_OFF,
     /** Crashed too often in a row; not started again until an operator intervenes. */
     GIVEN_UP,
-    /** Started by an earlier agent; the supervisor is searching for the process or checking its health. */
+    /**
+     * Started by an earlier agent, or a start that found its name lock held: the supervisor is searching for the
+     * process or checking its health.
+     */
     ADOPTED;
 
     /** The name as shown to operators and on the control channel: in lower case, with spaces. */
--- a/fleet/src/main/java/cacheproxy/supervise/JournalRecord.java
+++ b/fleet/src/main/java/cacheproxy/supervise/JournalRecord.java
@@ -12,7 +12,8 @@
 
     /**
      * Announces start number {@code start} of an instance. If its process does not exist {@code forkMs} after this was
-     * written, it never will. The time is stored here because the instance may no longer be declared at replay.
+     * written, it is assumed never to be created. The time is stored here because the instance may no longer be
+     * declared at replay.
      */
     record StartAnnounced(String name, int start, String secret, String launch, long forkMs) implements JournalRecord {}
 
--- a/fleet/src/main/java/cacheproxy/supervise/SupervisionPolicy.java
+++ b/fleet/src/main/java/cacheproxy/supervise/SupervisionPolicy.java
@@ -12,7 +12,8 @@
  * @param giveUpAfter number of consecutive crashes after which the instance is not started again
  * @param stableMs a crash after being ready for at least this long restarts the count of crashes
  * @param probeMs interval of health checks while the instance is ready; a fifth of it otherwise
- * @param forkMs if the process does not exist this long after its start was announced, it never will be
+ * @param forkMs if the process does not exist this long after its start was announced, it is assumed never to be
+ *     created (a very slow fork may still create it; the name lock then prevents a second serving process)
  */
 public record SupervisionPolicy(
         long readyWithinMs,
@@ -27,7 +28,7 @@
         long forkMs) {
 
     /** The default. A drain takes up to 3.6 s; a start on half a core takes 3.5 s. */
-    public static final SupervisionPolicy USUAL =
+    public static final SupervisionPolicy DEFAULT =
             new SupervisionPolicy(30_000, 6_000, 3_000, -1, 500, 30_000, 5, 10_000, 1_500, 3_000);
 
     /** Bounds the exponent of the backoff, so that the result fits into a long under any policy. */
--- a/fleet/src/main/java/cacheproxy/supervise/Supervisor.java
+++ b/fleet/src/main/java/cacheproxy/supervise/Supervisor.java
@@ -8,9 +8,10 @@
 /**
  * Keeps the instances of a site in their declared state. Events and clock readings arrive as method calls (times in
  * milliseconds of one monotonic clock), and effects go out through {@link SupervisorActions}. The class does no I/O,
- * has no clock and no threads, and calls must not overlap. It never runs two processes of one instance: a start is
- * announced only after the previous process is known to have ended, and is in the journal before the process is
- * created.
+ * has no clock and no threads, and calls must not overlap. It never lets two processes of one instance serve: a start
+ * is announced only after the previous process has ended or is assumed to have ended
+ * ({@link Instance#unconfirmedStarts}; the name lock stops the second process if the assumption was wrong), and is in
+ * the journal before the process is created.
  *
  * <p>This class holds the life cycle of an instance. The other decisions are made by {@link RollingRestarts},
  * {@link NameHolderSearch}, {@link HealthCheckResults}, {@link ConfigurationReloads} and {@link JournalReplay}.
@@ -160,7 +161,10 @@
                 && !instance.outdated();
     }
 
-    /** Requests a reload, even if the configuration has not changed. Returns why it cannot; null if requested. */
+    /**
+     * Requests a reload, even if the configuration has not changed. Returns why the reload cannot be requested; null if
+     * it was.
+     */
     public String reload(long now, String name) {
         return reloads.reload(now, name);
     }
--- a/fleet/src/test/java/cacheproxy/agent/AgentTest.java
+++ b/fleet/src/test/java/cacheproxy/agent/AgentTest.java
@@ -175,8 +175,8 @@
                 rig.await("the crash to be reported", () -> rig.hasEvent(expectedEvent));
                 long reportedMs = msSince(startNs);
                 rig.await("to be ready again", () -> rig.isInState("ready", "p0") && rig.pid("p0") != pid);
-                System.out.println((adopted ? "adopted" : "own") + ": told " + reportedMs + " ms after SIGKILL, ready "
-                        + msSince(startNs) + " ms after it");
+                System.out.println((adopted ? "adopted" : "own") + ": reported " + reportedMs
+                        + " ms after SIGKILL, ready " + msSince(startNs) + " ms after it");
                 assertTrue(reportedMs < 5_000, "reported after " + reportedMs + " ms");
                 rig.kill();
                 rig.startAndAwait();
--- a/fleet/src/test/java/cacheproxy/site/SiteFileTest.java
+++ b/fleet/src/test/java/cacheproxy/site/SiteFileTest.java
@@ -87,7 +87,7 @@
         assertEquals(List.of(), n.arguments());
         assertEquals(Map.of(), n.environment());
         assertTrue(n.greet());
-        assertEquals(SupervisionPolicy.USUAL, n.spec().policy());
+        assertEquals(SupervisionPolicy.DEFAULT, n.spec().policy());
         String demo = "'name':'d','program':'demo-node','listen':'127.0.0.1:1'";
         DeclaredInstance node = parseInstance(demo);
         assertNull(node.configuration());
@@ -226,7 +226,7 @@
         SiteFile site = parse("{'version':1,'name':'s','policy':{'probeMs':50,'killAfterMs':0,'stableMs':0},"
                 + "'instances':[{" + GROUP + ",'policy':{'probeMs':60,'giveUpAfter':1}},"
                 + "{'name':'m'," + LISTEN + ",'configuration':{}}]}");
-        SupervisionPolicy defaults = SupervisionPolicy.USUAL;
+        SupervisionPolicy defaults = SupervisionPolicy.DEFAULT;
         assertEquals(
                 new SupervisionPolicy(
                         defaults.readyWithinMs(),
--- a/fleet/src/test/java/cacheproxy/supervise/SimulatedMachine.java
+++ b/fleet/src/test/java/cacheproxy/supervise/SimulatedMachine.java
@@ -42,13 +42,17 @@
         DISK,
         CRASH,
         HANG,
+        /** A process that ignores SIGTERM. */
         IGNORE,
         NEVER_READY,
+        /** An operator command. */
         WISH,
         DECLARE,
         ROLL,
         LATE,
+        /** A request whose answer is lost. */
         LOST,
+        /** An answer that arrives twice. */
         TWICE,
         COMPACT,
         /** A fork that completes after the agent has stopped waiting for it. */
@@ -1104,7 +1108,7 @@
             }
             // an agent started after the removal of an instance does not know its policy
             SupervisionPolicy policy =
-                    declared.containsKey(process.name) ? policies.get(process.name) : SupervisionPolicy.USUAL;
+                    declared.containsKey(process.name) ? policies.get(process.name) : SupervisionPolicy.DEFAULT;
             if (process.unresponsiveSinceMs >= 0
                     && !process.draining
                     && !instance.searching // a lost search is repeated only after a delay
--- a/proxy/src/main/java/cacheproxy/client/ClientSession.java
+++ b/proxy/src/main/java/cacheproxy/client/ClientSession.java
@@ -37,7 +37,10 @@
     private static final int LINGER_MS = 500;
     /** A closing connection is cut off if the client reads nothing of its last responses for this long. */
     private static final int SLOW_READER_TIMEOUT_MS = 3_000;
-    /** Tolerated protocol errors, as a burst and per second; one more closes the connection. */
+    /**
+     * Tolerated protocol errors, as a burst and per second; one more closes the connection. Counted only if further
+     * input is already waiting when the error is found.
+     */
     private static final double PROTOCOL_ERROR_BURST = 6;
 
     private static final double PROTOCOL_ERRORS_PER_S = 0.5;
@@ -50,9 +53,12 @@
     private static final int PROTOCOL_ERROR_PAUSE_MS = 500;
 
     private static final long STUCK_US = 100_000;
-    /** Requests must be cancelled within 0.3 s after their client closes, so this often a close is checked for. */
+    /** Interval of the checks for a closed client: its requests must be cancelled within 0.3 s after it closes. */
     private static final long CLOSE_CHECK_INTERVAL_US = 100_000;
-    /** Read-ahead limits for detecting a close while suspended; the larger one for a few that send a lot. */
+    /**
+     * Read-ahead limits for detecting a close while suspended. The larger one is for connections that have filled the
+     * smaller one, as long as the shared read-ahead budget has room.
+     */
     private static final int READ_AHEAD_BYTES = 8 << 10;
 
     private static final int FAR_READ_AHEAD_BYTES = 64 << 10;
--- a/proxy/src/main/java/cacheproxy/client/ConnectionLimiter.java
+++ b/proxy/src/main/java/cacheproxy/client/ConnectionLimiter.java
@@ -95,9 +95,9 @@
     }
 
     /**
-     * Called when the session has no unanswered request, and may never send another. Only a limited number of client
-     * connections can be established; ones that send one request and stay open would use them up long before the
-     * proxy's own limit is reached.
+     * Called when the session has no unanswered request; it may never send another. Above {@code maxEstablished}
+     * connections that have sent a command, idle ones that were used only once are closed: clients that send one
+     * request and stay connected would use that number up long before {@code maxConnections} is reached.
      */
     void idle(ClientSession session) {
         session.idleSinceUs = clock.nowUs();
--- a/proxy/src/main/java/cacheproxy/client/RequestHandler.java
+++ b/proxy/src/main/java/cacheproxy/client/RequestHandler.java
@@ -15,7 +15,7 @@
     void onNoOp(ClientSession session, ResponseSlot slot);
 
     /**
-     * The response line for a request that is rejected because the proxy itself is at capacity.
+     * The response line for a request that is rejected because the proxy itself is at capacity or shutting down.
      *
      * @param limit the limit that is exceeded, for the log
      */
@@ -24,6 +24,8 @@
     /** The response line for a request that failed. */
     String failedLine();
 
-    /** Whether the process is about to end and all open requests have been answered. */
+    /**
+     * Whether the process is about to end: all open requests are being or have been failed, and new ones are rejected.
+     */
     boolean isFinishing();
 }
--- a/proxy/src/main/java/cacheproxy/limits/DeficitRoundRobin.java
+++ b/proxy/src/main/java/cacheproxy/limits/DeficitRoundRobin.java
@@ -58,7 +58,10 @@
         return true;
     }
 
-    /** The number of queued flows, which is the number of turns in a round: flows queued meanwhile get none. */
+    /**
+     * The number of queued flows. A caller that takes at most this many turns in a round gives none to flows queued
+     * meanwhile.
+     */
     public int queuedFlows() {
         return flows.size();
     }
--- a/proxy/src/main/java/cacheproxy/limits/FailureAttribution.java
+++ b/proxy/src/main/java/cacheproxy/limits/FailureAttribution.java
@@ -15,13 +15,17 @@
     private static final long LATENESS_DIVISOR = 4;
     /** If the loop was late for a larger share of the last seconds, the proxy is overloaded, and failures count. */
     private static final double MAX_LATE_SHARE = 0.4;
-    /** Consecutive rejections by one endpoint, of requests from clients that other endpoints served. */
+    /**
+     * Consecutive rejections by one endpoint of requests from clients that were served before (by any endpoint) and
+     * that no other endpoint has rejected.
+     */
     private static final int MIN_CONSECUTIVE_REJECTIONS = 3;
 
     private FailureAttribution() {}
 
     /**
-     * Whether the event loop was late for much of an attempt. False if it is late most of the time, which is overload.
+     * Whether the event loop was late for much of an attempt. False if it was late for 40 % or more of the last
+     * seconds, which is overload.
      *
      * @param lateUs lateness of the loop during the attempt
      * @param timeoutUs the attempt's timeout
--- a/proxy/src/main/java/cacheproxy/memcache/MetaCommandParser.java
+++ b/proxy/src/main/java/cacheproxy/memcache/MetaCommandParser.java
@@ -9,7 +9,7 @@
  * Parses the line of an {@code mg} or {@code ms} command. The {@code P} flag holds the request fields, separated by
  * commas: {@code c} class, {@code t} tenant, {@code d} wait in ms, {@code h} expected work in us, {@code size} value
  * size in bytes, {@code r} retry mark, {@code k} idempotency key; others are forwarded unread. One instance is reused
- * for all lines, so that parsing allocates no object but the command.
+ * for all lines of a connection, so that no parser is allocated per line.
  */
 final class MetaCommandParser {
     private static final int MAX_KEY_LENGTH = 250;
--- a/proxy/src/main/java/cacheproxy/memcache/MetaProtocolDecoder.java
+++ b/proxy/src/main/java/cacheproxy/memcache/MetaProtocolDecoder.java
@@ -72,7 +72,7 @@
         return actualReadableBytes();
     }
 
-    /** Whether a message was received in part. */
+    /** Whether received bytes are not decoded yet: a part of a message, or messages that the gate holds back. */
     public final boolean isInsideMessage() {
         return !framingLost && (block != null || actualReadableBytes() > 0);
     }
--- a/proxy/src/main/java/cacheproxy/server/JitWarmUp.java
+++ b/proxy/src/main/java/cacheproxy/server/JitWarmUp.java
@@ -41,8 +41,8 @@
  */
 final class JitWarmUp {
     /**
-     * More than the 60 calls after which the JVM flags of the deploy file compile a method, so that code that only some
-     * requests run is compiled too.
+     * More than 60, the number of calls after which the JVM, with the flags set in the deploy file, compiles a method;
+     * so code that only some requests run is compiled too.
      */
     static final int REQUESTS = 84;
 
@@ -90,14 +90,14 @@
                         channel.pipeline().addLast(new StandInEndpoint());
                     }
                 }),
-                NioServerSocketChannel::new,
-                System::currentTimeMillis); // no server socket is created: the warm-up proxy never listens
+                NioServerSocketChannel::new, // no server socket is created: the warm-up proxy never listens
+                System::currentTimeMillis);
         proxy = new ProxyServer(config, loop, host, new Log(System::nanoTime, line -> {}), router -> router);
     }
 
     /**
      * Blocks until the warm-up has ended, for 2 s at most per step; must not be called on the event loop. A failure is
-     * logged and only makes the start slower.
+     * logged and does not stop the start; the first requests are then slow or time out.
      *
      * @return how many requests were answered
      */
--- a/proxy/src/main/java/cacheproxy/server/ProxyProcess.java
+++ b/proxy/src/main/java/cacheproxy/server/ProxyProcess.java
@@ -23,9 +23,15 @@
 
 /** The process of one proxy, from start to exit code. */
 public final class ProxyProcess {
-    /** The event loop ended unexpectedly; a process that serves no requests must not look alive. */
+    /**
+     * The event loop ended, or the start failed with an unexpected exception; a process that serves no requests must
+     * not look alive.
+     */
     static final int EXIT_CODE_LOOP_ENDED = 70;
-    /** Clients go on connecting for 0.4 s after SIGTERM; the platform may cut off connections after 0.7 s. */
+    /**
+     * How long connections are still accepted after SIGTERM: longer than the 0.4 s for which clients go on connecting,
+     * shorter than the 0.7 s after which the platform may cut off connections.
+     */
     static final long DRAIN_OPEN_MS = 500;
 
     private static final long LOG_FLUSH_TIMEOUT_MS = 200;
@@ -43,9 +49,10 @@
     }
 
     /**
-     * Runs a proxy until SIGTERM or SIGINT, which end the process with exit code 0. Exit code 70: the event loop ended
-     * unexpectedly; 2: the proxy cannot start, with the reason on one line; 3: another process holds the lock on its
-     * name.
+     * Runs a proxy until SIGTERM or SIGINT, which end the process with exit code 0. Exit code 70: the event loop ended,
+     * or the start failed with an unexpected exception outside the event loop; 2: the proxy cannot start for another
+     * reason, such as an invalid configuration or an address in use, given on one line; 3: another process holds the
+     * lock on its name.
      *
      * @param signals installed before this class is loaded, because loading takes time
      */
--- a/proxy/src/main/java/cacheproxy/server/ProxyServer.java
+++ b/proxy/src/main/java/cacheproxy/server/ProxyServer.java
@@ -37,15 +37,21 @@
 final class ProxyServer implements EndpointListListener {
     /** Descriptors reserved for the process itself: libraries, selector, listener, discovery. */
     private static final int OWN_DESCRIPTORS = 48;
-    /** Clients that have sent a command may hold one in this many of all descriptors. */
+    /**
+     * If connections that have sent a command hold more than this fraction (1/n) of all descriptors, idle ones that
+     * were used only once are closed.
+     */
     private static final int ESTABLISHED_CLIENTS_DIVISOR = 4;
     /** The proxy is ready after this time at the latest: two calls to an overloaded discovery take 2 s each. */
     static final long READINESS_TIMEOUT_US = 4_000_000;
-    /** SIGKILL follows SIGTERM after the longest deadline, at most 3 s, plus 0.7 s. */
+    /** SIGKILL follows SIGTERM after the longest deadline, of which at most this much counts, plus 0.7 s. */
     private static final long MAX_DEADLINE_AT_SHUTDOWN_US = 3_000_000;
-
+    /** 0.1 s less than the 0.7 s after which SIGKILL follows, so that the process exits by itself. */
     private static final long SHUTDOWN_MARGIN_US = 600_000;
-    /** Reserved at the end of the notice period to write the last responses and close the connections. */
+    /**
+     * Reserved at the end of the notice period to write the last responses and close the connections: requests still
+     * open then are failed.
+     */
     private static final long LAST_RESPONSES_US = 100_000;
 
     private final ProxyConfiguration configuration;
@@ -96,7 +102,8 @@
         discovery = new DiscoveryClient(this, clock, configuration, loop, host, log);
         endpoints = new EndpointList(router, pools, discovery, log);
         listener = new ClientListener(clients, clock, configuration, loop, host);
-        // before the router, which starts timers: if a malformed list prevents the start, nothing may be called
+        // before the router, which starts timers: if a malformed list prevents the start, no timer may be left that
+        // calls it
         List<ListedEndpoint> configuredEndpoints = discovery.lastKnownEndpoints();
         RoutingActions actions = new RouterActionHandler(exchanges, pools, discovery, router, clock, log);
         router.begin(wrap.apply(new FairRouter(settings, configuration.seed, clock.nowUs(), actions)), actions);
@@ -193,8 +200,8 @@
 
     /**
      * Shuts down gracefully after SIGTERM: accepts connections for another {@code acceptMs}, then closes each once its
-     * requests are answered. Completes once all client connections are closed; requests still open at the end of the
-     * notice period are failed.
+     * requests are answered. Completes once all client connections are closed; requests still open 0.1 s before the end
+     * of the notice period are failed.
      */
     Future<Void> drain(long acceptMs) {
         log.line("shutting down: " + exchanges.size() + " requests open");
@@ -202,7 +209,10 @@
         return listener.drain(acceptMs);
     }
 
-    /** The notice period from SIGTERM to SIGKILL in microseconds, from the longest deadline of the settings. */
+    /**
+     * The notice period in microseconds, counted from SIGTERM; at its end the process exits. It is the longest deadline
+     * of the settings (at most 3 s) plus 0.6 s, and so ends 0.1 s before SIGKILL.
+     */
     long shutdownNoticeUs() {
         long longestDeadlineUs = 0;
         for (RequestClass requestClass : configuration.settings.requestClasses) {
@@ -236,8 +246,10 @@
     }
 
     /**
-     * While discovery is unreachable no proxy is notified of changes, so the configuration's list is used. If lists are
-     * pushed by an agent, changes that the agent had received count as known even while it is away.
+     * Ends the wait if this proxy must subscribe to discovery itself: while discovery is unreachable no proxy is
+     * notified of changes, so the configuration's list is used. If instead lists are pushed by a list agent of the
+     * platform (not the fleet agent), that agent may have received newer changes, which count as known to this proxy
+     * even while the agent is away; so the proxy keeps waiting.
      */
     @Override
     public void discoveryUnreachable() {
--- a/proxy/src/main/java/cacheproxy/server/ReadinessGate.java
+++ b/proxy/src/main/java/cacheproxy/server/ReadinessGate.java
@@ -5,9 +5,10 @@
 
 /**
  * Decides when the proxy reports that it is ready. Load balancers send clients to a proxy once it has answered
- * {@code mn}. The proxy is ready when an endpoint is serving and discovery has sent its endpoint list. Changes that
- * discovery or an agent announced before this process started count as known to it, so the configuration's list, which
- * may be older, is not used while a newer one is available. Used on the event loop only.
+ * {@code mn}. The proxy is ready when an endpoint is serving and discovery has sent its endpoint list. A change that
+ * discovery, or the platform's agent that pushes lists, announced before this process started counts as known to this
+ * process, so the configuration's list, which may be older, is not used while a newer one is available. Used on the
+ * event loop only.
  */
 final class ReadinessGate {
     private static final int MAX_PENDING = 4096;
@@ -27,7 +28,7 @@
 
     private final Log log;
     private final ArrayDeque<Runnable> pending = new ArrayDeque<>();
-    /** Until then only the JIT warm-up sends {@code mn}, and is answered at once. */
+    /** Set once the proxy listens. Before that only the JIT warm-up sends {@code mn}, and it is answered at once. */
     private boolean started;
 
     private boolean ready;
--- a/proxy/src/main/java/cacheproxy/server/RequestExchanges.java
+++ b/proxy/src/main/java/cacheproxy/server/RequestExchanges.java
@@ -133,7 +133,11 @@
         return valueBytes + command.valueBytes() > MAX_VALUE_BYTES ? "bytes of values" : null;
     }
 
-    /** Fails a retry instead of rejecting it if the first try may have run and left the deduplication window. */
+    /**
+     * Rejects a request, which promises that it was not executed. A retry fails instead if its class is not
+     * deduplicated until the deadline, because the first try may have been executed and have left the deduplication
+     * window.
+     */
     private void rejectForCapacity(ClientSession session, ResponseSlot slot, MetaCommand command, String limit) {
         boolean safeToReject = !command.isRetry() || requestClass(command).isDeduplicatedUntilDeadline(settings);
         counters.count(command, safeToReject ? Outcome.REFUSED : Outcome.FAILED);
@@ -144,7 +148,7 @@
         return settings.requestClasses[command.requestClass()];
     }
 
-    /** How long the proxy may take to respond from when the request reached it, in microseconds. */
+    /** How long after the request reached the proxy the response must be sent, in microseconds. */
     private long responseTimeUs(MetaCommand command) {
         long deadlineUs = requestClass(command).deadlineUs;
         long waitUs = command.waitMs() == MetaCommand.WAIT_NOT_STATED ? deadlineUs : command.waitMs() * 1000L;
--- a/proxy/src/main/java/cacheproxy/server/RequestOutcomeCounters.java
+++ b/proxy/src/main/java/cacheproxy/server/RequestOutcomeCounters.java
@@ -7,7 +7,10 @@
 
 /** Counts request outcomes since the process start, by class and by tenant. Used on the event loop only. */
 final class RequestOutcomeCounters {
-    /** The outcome that a client sees; the lower-case names are keys of the control channel's status. */
+    /**
+     * The outcome of a request; the lower-case names are keys of the control channel's status. A request that the proxy
+     * rejects with busy counts as REFUSED; REJECTED counts only CLIENT_ERROR.
+     */
     enum Outcome {
         SERVED,
         /** Cache miss ({@code EN}). */
--- a/proxy/src/main/java/cacheproxy/server/RouterDispatcher.java
+++ b/proxy/src/main/java/cacheproxy/server/RouterDispatcher.java
@@ -25,9 +25,15 @@
  * while, or the close of a client connection; deciding earlier would use outdated state. Used on the event loop only.
  */
 final class RouterDispatcher {
-    /** No request may be forwarded 0.3 s after its client has closed, so after longer stalls input is read first. */
+    /**
+     * Stalls longer than this hold events back: no request may be forwarded 0.3 s after its client has closed, so the
+     * input is read first.
+     */
     private static final long MAX_UNREAD_STALL_US = 250_000;
-    /** Share of the drain grace period; the rest of it is left for establishing a connection. */
+    /**
+     * Stalls longer than this fraction (1/n) of the drain grace period hold events back; the rest of the period is left
+     * for establishing a connection.
+     */
     private static final long DRAIN_GRACE_DIVISOR = 4;
 
     private final EventLoopClock clock;
--- a/proxy/src/main/java/cacheproxy/upstream/EndpointConnection.java
+++ b/proxy/src/main/java/cacheproxy/upstream/EndpointConnection.java
@@ -24,7 +24,10 @@
  * the event loop only. Completes every attempt that was added to it exactly once.
  */
 public final class EndpointConnection extends SimpleChannelInboundHandler<MetaResponse> {
-    /** The longest pause between two reads of one response; after it the response is truncated or its length wrong. */
+    /**
+     * The longest tolerated pause between two reads of one response; after a longer one the response is treated as
+     * truncated or its length as wrong.
+     */
     private static final long RESPONSE_STALL_US = 300_000;
 
     private final EndpointPools pools;
@@ -291,7 +294,8 @@
         }
         AttemptCompletion completion = AttemptCompletion.of(response.status());
         if (response.hasNoOpaque() && idempotentOnly && !pools.hedging && completion != AttemptCompletion.MISS) {
-            // may belong to another request: a retry while this attempt is still in flight would be a hedged request
+            // the response may belong to an earlier request, so this attempt may still be in flight; the connection is
+            // closed first, because a retry would otherwise be a hedged request, which is not allowed here
             attempts.poll();
             close(UpstreamCloseReason.AMBIGUOUS_RESPONSE);
             complete(attempt, completion, response);
--- a/proxy/src/main/java/cacheproxy/upstream/EndpointPool.java
+++ b/proxy/src/main/java/cacheproxy/upstream/EndpointPool.java
@@ -21,7 +21,10 @@
     private boolean restarted;
     /** The endpoint is draining or gone and is sent nothing new: a connection that becomes idle is closed. */
     private boolean drainingOrGone;
-    /** Consecutive rejections of requests from clients whose requests other endpoints have served. */
+    /**
+     * Consecutive rejections by this endpoint of requests from clients that were served before (by any endpoint) and
+     * that no other endpoint has rejected.
+     */
     private int consecutiveRejections;
 
     private final List<EndpointConnection> connections = new ArrayList<>();
--- a/proxy/src/main/java/cacheproxy/upstream/UpstreamCloseReason.java
+++ b/proxy/src/main/java/cacheproxy/upstream/UpstreamCloseReason.java
@@ -4,7 +4,8 @@
 enum UpstreamCloseReason {
     IDLE("idle timeout"),
     ADDRESS_CHANGED("the endpoint's address changed"),
-    ENDPOINT_DRAINING_OR_GONE("the endpoint is draining or gone, or its idle connections are no longer trusted"),
+    ENDPOINT_DRAINING_OR_GONE(
+            "the endpoint is draining, gone or at another address, or its idle connections are no longer trusted"),
     EVICTED("evicted to make room for another connection"),
     CONNECTED_TOO_LATE("connected too late to be used"),
     CONNECT_TIMEOUT("connect timeout"),
--- a/proxy/src/test/java/cacheproxy/server/ClientIsolationTest.java
+++ b/proxy/src/test/java/cacheproxy/server/ClientIsolationTest.java
@@ -26,11 +26,12 @@
     }
 
     /**
-     * Guards against reserving memory for announced value lengths: 64 clients that announce a value and send nothing
-     * more would use up the budget for values, so that no other client could write.
+     * Guards against reserving the announced length of a value at once: 64 clients that announce 64 KB each and send
+     * nothing more would use up the budget of 4 MB, so that no other client could write. The test opens 100 such
+     * clients.
      */
     @Test
-    void announcedValueLengthsReserveNoMemory() throws Exception {
+    void announcedValueLengthsReserveLittleMemory() throws Exception {
         try (ProxyFixture fixture = new ProxyFixture(1)) {
             CommandArrivals arrivals = new CommandArrivals(fixture);
             for (int i = 0; i < 100; i++) {
--- a/proxy/src/test/java/cacheproxy/server/GracefulShutdownRaceTest.java
+++ b/proxy/src/test/java/cacheproxy/server/GracefulShutdownRaceTest.java
@@ -81,7 +81,10 @@
         }
     }
 
-    /** Several commands of one read are answered immediately, one after the other. */
+    /**
+     * Several commands of one read are answered one after the other; the connection must not be closed after the first
+     * of these responses.
+     */
     @Test
     void sendsAllResponsesOfOneReadBeforeClosing() throws Exception {
         try (ProxyFixture fixture = new ProxyFixture(1)) {
@@ -286,7 +289,10 @@
         }
     }
 
-    /** The notice depends on the settings: SIGKILL comes no earlier than 0.7 s after the longest deadline. */
+    /**
+     * The notice period follows the settings: the longest deadline (at most 3 s) plus 0.6 s, which is 0.1 s before
+     * SIGKILL, so that the process exits by itself.
+     */
     @Test
     void shutdownNoticeFollowsLongestDeadline() throws Exception {
         for (double[] deadlineAndNoticeMs : new double[][] {{300, 900}, {2500, 3100}, {60_000, 3600}, {0, 3600}}) {
--- a/proxy/src/test/java/cacheproxy/server/LateBusyTest.java
+++ b/proxy/src/test/java/cacheproxy/server/LateBusyTest.java
@@ -31,7 +31,10 @@
         }
     }
 
-    /** Allows hedged requests. Without them a second busy closes a connection: an earlier attempt may be in flight. */
+    /**
+     * Allows hedged requests. Without them a second busy on a connection closes it, because it may be a duplicate of
+     * the first and the attempt may still be in flight.
+     */
     private static ProxyFixture hedgingFixture(int nodes) throws Exception {
         return new ProxyFixture(nodes, s -> s.replace("\"secondCopies\":false", "\"secondCopies\":true"), 1024);
     }
@@ -156,7 +159,9 @@
         }
     }
 
-    /** If lookups used unrestricted connections first, they would restrict them, and each charge need a new one. */
+    /**
+     * If lookups used unrestricted connections first, they would restrict them, and each charge would need a new one.
+     */
     @Test
     void chargesReuseConnectionsAmongBusyLookups() throws Exception {
         try (ProxyFixture fixture = hedgingFixture(1)) {
